--- a/Libraries/LibDecide/Placer.cpp
+++ b/Libraries/LibDecide/LoadBalancer.cpp
@@ -1,5 +1,5 @@
 // Placing, spilling to other zones, ejecting and taking back.
-#include <LibDecide/Placer.h>
+#include <LibDecide/LoadBalancer.h>
 
 #include <algorithm>
 #include <cmath>
--- a/Libraries/LibDecide/ReturningCallers.cpp
+++ b/Libraries/LibDecide/RetryMatcher.cpp
@@ -1,5 +1,5 @@
 // Matching calls to refusals by the moment at which their callers give up.
-#include <LibDecide/ReturningCallers.h>
+#include <LibDecide/RetryMatcher.h>
 
 #include <algorithm>
 #include <cstddef>
--- a/Libraries/LibDecide/TargetGate.cpp
+++ b/Libraries/LibDecide/TargetGate.cpp
@@ -1,6 +1,6 @@
 // Admitting, starting and refusing by target.
 #include <LibDecide/TargetGate.h>
-#include <LibDecide/TargetGateFigures.h>
+#include <LibDecide/TargetGateConstants.h>
 
 #include <algorithm>
 #include <cmath>
--- a/Libraries/LibDecide/TargetGateRank.cpp
+++ b/Libraries/LibDecide/TargetGateRank.cpp
@@ -1,6 +1,6 @@
 // What is known of kinds of calls, which call goes first, and how long one would wait.
 #include <LibDecide/TargetGate.h>
-#include <LibDecide/TargetGateFigures.h>
+#include <LibDecide/TargetGateConstants.h>
 
 #include <algorithm>
 #include <cmath>
--- a/Services/Node/Callers/ForwardedCall.h
+++ b/Services/Node/Callers/ForwardedCall.h
@@ -8,7 +8,7 @@
 
 #include <LibConfig/Model.h>
 #include <LibCore/RcuPointer.h>
-#include <LibDecide/ReturningCallers.h>
+#include <LibDecide/RetryMatcher.h>
 #include <LibHistory/HistoryRecorder.h>
 
 #include <boost/asio/steady_timer.hpp>
--- a/Services/Node/Callers/ServiceState.h
+++ b/Services/Node/Callers/ServiceState.h
@@ -2,7 +2,7 @@
 // the views of who is present come and go.
 #pragma once
 
-#include <LibDecide/Placer.h>
+#include <LibDecide/LoadBalancer.h>
 #include <LibDecide/Retry.h>
 
 #include <mutex>
--- a/Services/Node/NodeParts.h
+++ b/Services/Node/NodeParts.h
@@ -7,7 +7,7 @@
 
 #include <LibDecide/Admission.h>
 #include <LibDecide/BodyGrants.h>
-#include <LibDecide/Placer.h>
+#include <LibDecide/LoadBalancer.h>
 #include <LibObserve/EventLog.h>
 
 namespace Sagecrank {
--- a/Tests/LibDecide/TestPlacer.cpp
+++ b/Tests/LibDecide/TestLoadBalancer.cpp
@@ -1,5 +1,5 @@
 // Which upstream a call goes to, and which ones get none.
-#include <LibDecide/Placer.h>
+#include <LibDecide/LoadBalancer.h>
 
 #include <Support/TableTest.h>
 
--- a/Tests/LibDecide/TestReturningCallers.cpp
+++ b/Tests/LibDecide/TestRetryMatcher.cpp
@@ -1,5 +1,5 @@
 // Which calls are taken for a refused caller's next try.
-#include <LibDecide/ReturningCallers.h>
+#include <LibDecide/RetryMatcher.h>
 
 #include <Support/TableTest.h>
 
--- a/Utilities/PolicyBench/Cost.cpp
+++ b/Utilities/PolicyBench/Cost.cpp
@@ -3,7 +3,7 @@
 #include <PolicyBench/Cost.h>
 
 #include <LibDecide/Gate.h>
-#include <LibDecide/Placer.h>
+#include <LibDecide/LoadBalancer.h>
 
 #include <algorithm>
 #include <array>
--- a/Utilities/PolicyBench/Policy.h
+++ b/Utilities/PolicyBench/Policy.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include <LibDecide/Gate.h>
-#include <LibDecide/Placer.h>
+#include <LibDecide/LoadBalancer.h>
 
 #include <functional>
 #include <memory>
