--- a/Libraries/LibDecide/Admission.h
+++ b/Libraries/LibDecide/Admission.h
@@ -38,14 +38,14 @@
     {RefusalReason::TargetTooNear, "target_too_near"},
 }};
 
-enum class CallEnd : std::uint8_t {
+enum class CallOutcome : std::uint8_t {
     Succeeded,
     Failed,    // The upstream answered with a failure of its own or broke the connection.
     Shed,      // The upstream said that it is overloaded.
     Cancelled, // The caller gave up.
 };
 
-struct CallFacts
+struct CallAttributes
 {
     CallClass callClass = CallClass::Interactive;
     Instant deadline;
@@ -93,30 +93,30 @@
 struct AdmissionHooks
 {
     // Commands.
-    std::function<GateDecision(Instant, const CallFacts &, std::vector<GateAction> &)> offer;
-    std::function<void(Instant, Ticket, CallEnd, std::vector<GateAction> &)> finish;
+    std::function<GateDecision(Instant, const CallAttributes &, std::vector<GateAction> &)> offer;
+    std::function<void(Instant, Ticket, CallOutcome, std::vector<GateAction> &)> finish;
     std::function<void(Instant, Ticket, std::vector<GateAction> &)> cancel;
     std::function<void(Instant, std::vector<GateAction> &)> advance;
     std::function<void(Instant, UpstreamCondition, std::uint32_t, std::vector<GateAction> &)> setState;
     std::function<void(std::uint32_t)> setMaximumQueue;
     // Queries.
-    std::function<bool(Instant, const CallFacts &)> wouldAdmit;
+    std::function<bool(Instant, const CallAttributes &)> wouldAdmit;
     std::function<std::optional<Instant>()> nextDeadline;
     std::function<std::uint32_t()> freeSlots;
     std::function<std::uint32_t()> queued;
     std::function<std::uint32_t()> running;
     std::function<UpstreamCondition()> condition;
-    std::function<Duration(Instant, const CallFacts &)> expectedWait;
+    std::function<Duration(Instant, const CallAttributes &)> expectedWait;
 };
 
 template <typename Rule>
-AdmissionHooks admissionHooksOf(std::shared_ptr<Rule> rule)
+AdmissionHooks makeAdmissionHooks(std::shared_ptr<Rule> rule)
 {
     AdmissionHooks hooks;
-    hooks.offer = [rule](Instant now, const CallFacts &facts, std::vector<GateAction> &actions) {
+    hooks.offer = [rule](Instant now, const CallAttributes &facts, std::vector<GateAction> &actions) {
         return rule->offer(now, facts, actions);
     };
-    hooks.finish = [rule](Instant now, Ticket ticket, CallEnd end, std::vector<GateAction> &actions) {
+    hooks.finish = [rule](Instant now, Ticket ticket, CallOutcome end, std::vector<GateAction> &actions) {
         rule->finish(now, ticket, end, actions);
     };
     hooks.cancel = [rule](Instant now, Ticket ticket, std::vector<GateAction> &actions) {
@@ -128,13 +128,15 @@
         rule->setState(now, condition, slots, actions);
     };
     hooks.setMaximumQueue = [rule](std::uint32_t most) { rule->setMaximumQueue(most); };
-    hooks.wouldAdmit = [rule](Instant now, const CallFacts &facts) { return rule->wouldAdmit(now, facts); };
+    hooks.wouldAdmit = [rule](Instant now, const CallAttributes &facts) {
+        return rule->wouldAdmit(now, facts);
+    };
     hooks.nextDeadline = [rule] { return rule->nextDeadline(); };
     hooks.freeSlots = [rule] { return rule->freeSlots(); };
     hooks.queued = [rule] { return rule->queued(); };
     hooks.running = [rule] { return rule->running(); };
     hooks.condition = [rule] { return rule->condition(); };
-    hooks.expectedWait = [rule](Instant now, const CallFacts &facts) {
+    hooks.expectedWait = [rule](Instant now, const CallAttributes &facts) {
         return rule->expectedWait(now, facts);
     };
     return hooks;
--- a/Libraries/LibDecide/BodyGrants.cpp
+++ b/Libraries/LibDecide/BodyGrants.cpp
@@ -5,23 +5,23 @@
 
 namespace Sagecrank {
 
-BodyAnswer BodyGrants::ask(Instant now, Name name, std::uint64_t bytes, std::uint32_t priority)
+BodyGrantResult BodyGrants::request(Instant now, BodyId name, std::uint64_t bytes, std::uint32_t priority)
 {
     if (!this->isLimited())
-        return BodyAnswer::Granted;
+        return BodyGrantResult::Granted;
     const Body body{name, bytes, priority, now};
     if (this->line.empty() && this->fits(bytes)) {
         this->grant(now, body);
-        return BodyAnswer::Granted;
+        return BodyGrantResult::Granted;
     }
-    if (this->line.size() >= this->settings.mostWaiting)
-        return BodyAnswer::LineFull;
+    if (this->line.size() >= this->settings.maximumQueued)
+        return BodyGrantResult::QueueFull;
     const auto place = std::ranges::upper_bound(this->line, priority, {}, &Body::priority);
     this->line.insert(place, body);
-    return BodyAnswer::Waits;
+    return BodyGrantResult::Queued;
 }
 
-void BodyGrants::end(Name name)
+void BodyGrants::release(BodyId name)
 {
     std::erase_if(this->line, [name](const Body &body) { return body.name == name; });
     const auto found = std::ranges::find(this->granted, name, &Body::name);
@@ -31,11 +31,11 @@
     this->granted.erase(found);
 }
 
-std::vector<BodyGrants::Name> BodyGrants::advance(Instant now)
+std::vector<BodyGrants::BodyId> BodyGrants::advance(Instant now)
 {
     while (!this->granted.empty() && this->granted.front().expires <= now)
-        this->end(this->granted.front().name);
-    std::vector<Name> turns;
+        this->release(this->granted.front().name);
+    std::vector<BodyId> turns;
     while (!this->line.empty() && this->fits(this->line.front().bytes)) {
         turns.push_back(this->line.front().name);
         this->grant(now, this->line.front());
@@ -44,7 +44,7 @@
     return turns;
 }
 
-Duration BodyGrants::carries(std::uint64_t bytes) const
+Duration BodyGrants::transferTime(std::uint64_t bytes) const
 {
     if (!this->isLimited())
         return Duration::zero();
@@ -52,14 +52,14 @@
         std::chrono::duration<double>(static_cast<double>(bytes) / this->settings.bytesPerSecond));
 }
 
-Duration BodyGrants::expected(std::uint64_t bytes, std::uint32_t priority) const
+Duration BodyGrants::expectedDelay(std::uint64_t bytes, std::uint32_t priority) const
 {
     std::uint64_t before = this->grantedBytes + bytes;
     for (const Body &body : this->line) {
         if (body.priority <= priority)
             before += body.bytes;
     }
-    return this->carries(before);
+    return this->transferTime(before);
 }
 
 std::optional<Instant> BodyGrants::nextExpiry() const
@@ -72,12 +72,13 @@
 // One body always fits: it may be larger than what the link carries ahead.
 bool BodyGrants::fits(std::uint64_t bytes) const
 {
-    return this->granted.empty() || this->carries(this->grantedBytes + bytes) <= this->settings.ahead;
+    return this->granted.empty()
+           || this->transferTime(this->grantedBytes + bytes) <= this->settings.inFlightTime;
 }
 
 void BodyGrants::grant(Instant now, Body body)
 {
-    body.expires = now + this->settings.grantLife + this->carries(body.bytes);
+    body.expires = now + this->settings.grantLifetime + this->transferTime(body.bytes);
     const auto place = std::ranges::upper_bound(this->granted, body.expires, {}, &Body::expires);
     this->granted.insert(place, body);
     this->grantedBytes += body.bytes;
--- a/Libraries/LibDecide/BodyGrants.h
+++ b/Libraries/LibDecide/BodyGrants.h
@@ -18,18 +18,20 @@
 struct BodyGrantSettings
 {
     double bytesPerSecond = 0; // Of the link; 0: not told, and every body is granted at once.
-    Duration ahead = std::chrono::milliseconds(300); // As much may be under way as the link carries in this.
-    Duration grantLife = std::chrono::seconds(2); // A body that has not come by then is not counted any more.
-    std::size_t mostWaiting = 256;
+    Duration inFlightTime =
+        std::chrono::milliseconds(300); // As much may be under way as the link carries in this.
+    Duration grantLifetime =
+        std::chrono::seconds(2); // A body that has not come by then is not counted any more.
+    std::size_t maximumQueued = 256;
 };
 
-enum class BodyAnswer : std::uint8_t { Granted, Waits, LineFull };
+enum class BodyGrantResult : std::uint8_t { Granted, Queued, QueueFull };
 
 // Not thread-safe. Names are the caller's, unique among those that have not ended.
 class BodyGrants
 {
 public:
-    using Name = std::uint64_t;
+    using BodyId = std::uint64_t;
 
     explicit BodyGrants(BodyGrantSettings settings)
         : settings(settings)
@@ -39,23 +41,23 @@
     bool isLimited() const { return this->settings.bytesPerSecond > 0; }
 
     // Commands. Priority 0 goes first; among equals the earlier one.
-    BodyAnswer ask(Instant now, Name name, std::uint64_t bytes, std::uint32_t priority);
+    BodyGrantResult request(Instant now, BodyId name, std::uint64_t bytes, std::uint32_t priority);
     // Its body came, or will not come. Says nothing of a name that is not known.
-    void end(Name name);
+    void release(BodyId name);
     // Those whose turn it is now.
-    std::vector<Name> advance(Instant now);
+    std::vector<BodyId> advance(Instant now);
 
     // Queries.
-    Duration carries(std::uint64_t bytes) const; // How long the link takes for them.
+    Duration transferTime(std::uint64_t bytes) const; // How long the link takes for them.
     // Until such a body would be here, if it was asked for now.
-    Duration expected(std::uint64_t bytes, std::uint32_t priority) const;
-    std::size_t waiting() const { return this->line.size(); }
+    Duration expectedDelay(std::uint64_t bytes, std::uint32_t priority) const;
+    std::size_t queued() const { return this->line.size(); }
     std::optional<Instant> nextExpiry() const; // When advance() must be called next.
 
 private:
     struct Body
     {
-        Name name = 0;
+        BodyId name = 0;
         std::uint64_t bytes = 0;
         std::uint32_t priority = 0;
         Instant expires; // Of a granted one.
--- a/Libraries/LibDecide/ConcurrencyLimit.cpp
+++ b/Libraries/LibDecide/ConcurrencyLimit.cpp
@@ -34,7 +34,7 @@
     this->current = wasFull ? top : std::min(this->current, top);
 }
 
-void ConcurrencyLimit::succeeded(bool busy)
+void ConcurrencyLimit::recordSuccess(bool busy)
 {
     if (!busy)
         return;
@@ -42,7 +42,7 @@
     this->current = std::min(top, this->current + increase / this->current);
 }
 
-void ConcurrencyLimit::shed(Instant now, Duration runTime)
+void ConcurrencyLimit::recordShed(Instant now, Duration runTime)
 {
     // The calls of one round shed together; they are one piece of news, not several.
     if (this->loweredAt != Instant::min() && now - this->loweredAt < runTime)
--- a/Libraries/LibDecide/ConcurrencyLimit.h
+++ b/Libraries/LibDecide/ConcurrencyLimit.h
@@ -18,9 +18,9 @@
     void setSlots(std::uint32_t slots);
     // `busy` says that the limit was reached while the call ran; otherwise it proves nothing about more
     // calls.
-    void succeeded(bool busy);
+    void recordSuccess(bool busy);
     // The upstream said that it is overloaded.
-    void shed(Instant now, Duration runTime);
+    void recordShed(Instant now, Duration runTime);
 
     // Queries.
 
--- a/Libraries/LibDecide/CrashQuarantine.cpp
+++ b/Libraries/LibDecide/CrashQuarantine.cpp
@@ -20,7 +20,7 @@
 {
     for (const CrashReport &report : reports) {
         if (report.state == CrashReportState::Crashed)
-            this->suspicions[report.request].push_back(report.until);
+            this->suspicions[report.request].push_back(report.expiresAt);
     }
     for (auto &[request, crashes] : this->suspicions)
         std::ranges::sort(crashes, std::greater<>());
@@ -36,7 +36,7 @@
     return until > now ? std::optional(until) : std::nullopt;
 }
 
-std::vector<RequestFingerprint> CrashQuarantine::refused() const
+std::vector<RequestFingerprint> CrashQuarantine::refusedRequests() const
 {
     std::vector<RequestFingerprint> requests;
     for (const auto &[request, crashes] : this->suspicions) {
@@ -46,7 +46,7 @@
     return requests;
 }
 
-void RecentAnswers::note(Instant now, RequestFingerprint request)
+void RecentAnswers::record(Instant now, RequestFingerprint request)
 {
     this->answers[request % places] = {request, now};
 }
@@ -54,22 +54,22 @@
 bool RecentAnswers::contains(Instant now, RequestFingerprint request) const
 {
     const Answer &answer = this->answers[request % places];
-    return answer.request == request && now - answer.at <= recentAnswerLife;
+    return answer.request == request && now - answer.at <= recentAnswerWindow;
 }
 
-void CrashWitness::connectionBroke(Instant now, RequestFingerprint request)
+void CrashDetector::recordBrokenConnection(Instant now, RequestFingerprint request)
 {
     std::erase_if(this->breaks, [now](const Break &one) { return now - one.at > confirmationTime; });
     if (this->breaks.size() < mostBreaks)
         this->breaks.push_back({request, now});
 }
 
-void CrashWitness::answered(Instant sent)
+void CrashDetector::recordAnswer(Instant sent)
 {
     std::erase_if(this->breaks, [sent](const Break &one) { return one.at < sent; });
 }
 
-std::vector<RequestFingerprint> CrashWitness::upstreamEnded(Instant now)
+std::vector<RequestFingerprint> CrashDetector::recordUpstreamExit(Instant now)
 {
     std::vector<RequestFingerprint> requests;
     for (const Break &one : this->breaks) {
--- a/Libraries/LibDecide/CrashQuarantine.h
+++ b/Libraries/LibDecide/CrashQuarantine.h
@@ -38,7 +38,7 @@
     RequestFingerprint request = 0;
     std::uint64_t crash = 0; // Unique to the crash.
     CrashReportState state = CrashReportState::Crashed;
-    Instant until; // Forgotten then.
+    Instant expiresAt; // Forgotten then.
 };
 
 // By chance a request runs at one crash that others caused, and rarely at two.
@@ -46,11 +46,11 @@
 
 // How long a crash is held against a request: longer than a caller tries again, shorter than a repair of the
 // service takes to be installed.
-inline constexpr Duration crashReportLife = std::chrono::minutes(10);
+inline constexpr Duration crashReportLifetime = std::chrono::minutes(10);
 
 // For how long before a crash an answer counts. A request that begins to crash upstreams only then is told by
 // the crashes that come later.
-inline constexpr Duration recentAnswerLife = std::chrono::seconds(10);
+inline constexpr Duration recentAnswerWindow = std::chrono::seconds(10);
 
 // What all reports together say. Immutable, so that request threads share it.
 class CrashQuarantine
@@ -60,7 +60,7 @@
 
     // Until when the request is refused; nothing when it is not.
     std::optional<Instant> refusedUntil(RequestFingerprint request, Instant now) const;
-    std::vector<RequestFingerprint> refused() const;
+    std::vector<RequestFingerprint> refusedRequests() const;
 
 private:
     // When each crash that was not cleared is forgotten, the last one first.
@@ -72,7 +72,7 @@
 class RecentAnswers
 {
 public:
-    void note(Instant now, RequestFingerprint request);
+    void record(Instant now, RequestFingerprint request);
     bool contains(Instant now, RequestFingerprint request) const;
 
 private:
@@ -89,21 +89,24 @@
 // Tells an upstream's crash from a connection that broke for another reason. A broken connection alone proves
 // nothing: it counts once the upstream refuses connections or another start of it is there, and not when the
 // same upstream answers a later call. One stands for one gate; not thread-safe.
-class CrashWitness
+class CrashDetector
 {
 public:
     // Commands.
 
     // The connection of a call that ran broke before its answer.
-    void connectionBroke(Instant now, RequestFingerprint request);
+    void recordBrokenConnection(Instant now, RequestFingerprint request);
     // An answer came to what was sent at `sent`, be it a call or only a connection.
-    void answered(Instant sent);
+    void recordAnswer(Instant sent);
     // The upstream has ended. Returns the requests that ran there, each once.
-    std::vector<RequestFingerprint> upstreamEnded(Instant now);
+    std::vector<RequestFingerprint> recordUpstreamExit(Instant now);
 
     // Queries.
 
-    bool awaitsMore() const { return !this->breaks.empty(); } // Breaks that nothing has explained yet.
+    bool hasUnexplainedBreaks() const
+    {
+        return !this->breaks.empty();
+    } // Breaks that nothing has explained yet.
 
 private:
     struct Break
--- a/Libraries/LibDecide/Gate.cpp
+++ b/Libraries/LibDecide/Gate.cpp
@@ -54,7 +54,7 @@
 {
 }
 
-GateDecision Gate::offer(Instant now, const CallFacts &facts, std::vector<GateAction> &actions)
+GateDecision Gate::offer(Instant now, const CallAttributes &facts, std::vector<GateAction> &actions)
 {
     const RefusalReason reason = this->refusal(now, facts);
     if (facts.callClass != CallClass::Batch)
@@ -73,7 +73,7 @@
     return GateDecision{GateVerdict::Queue, ticket, RefusalReason::None, Duration::zero()};
 }
 
-void Gate::finish(Instant now, Ticket ticket, CallEnd end, std::vector<GateAction> &actions)
+void Gate::finish(Instant now, Ticket ticket, CallOutcome end, std::vector<GateAction> &actions)
 {
     const auto found =
         std::find_if(this->runningCalls.begin(), this->runningCalls.end(),
@@ -87,15 +87,15 @@
 
     const Duration took = now - ended.startedAt;
     this->shares.charge(now, ended.callClass, took - ended.charged);
-    if (end == CallEnd::Succeeded) {
-        this->runTimes.observed(ended.callClass, took);
-        this->limit.succeeded(busy);
+    if (end == CallOutcome::Succeeded) {
+        this->runTimes.observe(ended.callClass, took);
+        this->limit.recordSuccess(busy);
     }
     // A call that was cut off would have run at least as long; that counts when it is more than the usual.
-    if (end == CallEnd::Cancelled && took > this->runTimes.mean(ended.callClass))
-        this->runTimes.observed(ended.callClass, took);
-    if (end == CallEnd::Shed)
-        this->limit.shed(now, this->runTimes.mean(ended.callClass));
+    if (end == CallOutcome::Cancelled && took > this->runTimes.mean(ended.callClass))
+        this->runTimes.observe(ended.callClass, took);
+    if (end == CallOutcome::Shed)
+        this->limit.recordShed(now, this->runTimes.mean(ended.callClass));
     this->startWaiting(now, actions);
 }
 
@@ -108,8 +108,8 @@
 
 void Gate::advance(Instant now, std::vector<GateAction> &actions)
 {
-    for (const CallClass callClass : classOrder) {
-        const Instant latest = now + this->runTimes.quick(callClass);
+    for (const CallClass callClass : classPriorityOrder) {
+        const Instant latest = now + this->runTimes.optimistic(callClass);
         std::erase_if(this->queueOf(callClass), [&](const Waiting &waiting) {
             if (waiting.deadline > latest)
                 return false;
@@ -141,7 +141,7 @@
     this->settings.maximumQueue = maximumQueue;
 }
 
-bool Gate::wouldAdmit(Instant now, const CallFacts &facts) const
+bool Gate::wouldAdmit(Instant now, const CallAttributes &facts) const
 {
     return this->refusal(now, facts) == RefusalReason::None;
 }
@@ -166,7 +166,7 @@
     return this->limit.value() - this->running();
 }
 
-bool Gate::idle() const
+bool Gate::isIdle() const
 {
     return this->running() == 0 && this->queued() == 0;
 }
@@ -192,21 +192,21 @@
     const double own =
         toSeconds(this->runTimes.mean(callClass)) * static_cast<double>(this->queueOf(callClass).size() + 1);
     double ahead = 0;
-    for (const CallClass other : classOrder) {
+    for (const CallClass other : classPriorityOrder) {
         if (other >= callClass)
             break;
         ahead += toSeconds(this->runTimes.mean(other)) * static_cast<double>(this->queueOf(other).size());
     }
-    const double byOrder = (own + ahead) / (slots * this->shares.leftPart(now, callClass, slots));
-    const double byRight = own / (slots * SlotShares::owedPart(callClass));
+    const double byOrder = (own + ahead) / (slots * this->shares.remainingShare(now, callClass, slots));
+    const double byRight = own / (slots * SlotShares::guaranteedShare(callClass));
     return fromSeconds(std::min(byOrder, byRight));
 }
 
 std::optional<Instant> Gate::nextDeadline() const
 {
     std::optional<Instant> next;
-    for (const CallClass callClass : classOrder) {
-        const Duration quick = this->runTimes.quick(callClass);
+    for (const CallClass callClass : classPriorityOrder) {
+        const Duration quick = this->runTimes.optimistic(callClass);
         for (const Waiting &waiting : this->queueOf(callClass))
             next = std::min(next.value_or(Instant::max()), waiting.deadline - quick);
     }
@@ -263,11 +263,11 @@
 // calls of the class are refused, so none can show that it is quick again. One at a time is enough to correct
 // the estimate. One that waits must have room for the usual run time and for a wait longer than expected: it
 // has another place to go now, and none once it has waited.
-bool Gate::inTime(Instant now, const CallFacts &facts, Duration wait) const
+bool Gate::inTime(Instant now, const CallAttributes &facts, Duration wait) const
 {
     if (wait <= Duration::zero()) {
         const bool onlyOne = this->runningOf(facts.callClass) == 0;
-        const Duration least = onlyOne ? Duration::zero() : this->runTimes.quick(facts.callClass);
+        const Duration least = onlyOne ? Duration::zero() : this->runTimes.optimistic(facts.callClass);
         return now + least < facts.deadline;
     }
     const Duration room = fromSeconds(toSeconds(wait) * waitMargin);
@@ -278,7 +278,7 @@
 // patience and, when it starts late, a slot for an answer that nobody reads. It is refused at once instead,
 // while its caller can still go elsewhere. The queue's bound is the second line: it holds when run times are
 // not known yet and deadlines are long.
-RefusalReason Gate::refusal(Instant now, const CallFacts &facts) const
+RefusalReason Gate::refusal(Instant now, const CallAttributes &facts) const
 {
     if (this->state == UpstreamCondition::Draining)
         return RefusalReason::Draining;
@@ -334,11 +334,11 @@
         return !this->queueOf(callClass).empty()
                && (callClass != CallClass::Batch || this->batchMayStart(now));
     };
-    for (const CallClass callClass : classOrder) {
-        if (mayGo(callClass) && this->shares.owed(callClass))
+    for (const CallClass callClass : classPriorityOrder) {
+        if (mayGo(callClass) && this->shares.isBelowGuarantee(callClass))
             return callClass;
     }
-    for (const CallClass callClass : classOrder) {
+    for (const CallClass callClass : classPriorityOrder) {
         if (mayGo(callClass))
             return callClass;
     }
@@ -353,7 +353,7 @@
             return;
         const Waiting waiting = this->queueOf(*callClass).front();
         this->queueOf(*callClass).pop_front();
-        if (waiting.deadline <= now + this->runTimes.quick(*callClass)) {
+        if (waiting.deadline <= now + this->runTimes.optimistic(*callClass)) {
             const RefusalReason reason = RefusalReason::DeadlinePassed;
             actions.push_back(
                 GateAction{waiting.ticket, false, reason, this->retryAfter(now, *callClass, reason)});
@@ -377,7 +377,7 @@
 
 void Gate::refuseQueue(Instant now, RefusalReason reason, std::vector<GateAction> &actions)
 {
-    for (const CallClass callClass : classOrder) {
+    for (const CallClass callClass : classPriorityOrder) {
         for (const Waiting &waiting : this->queueOf(callClass))
             actions.push_back(
                 GateAction{waiting.ticket, false, reason, this->retryAfter(now, callClass, reason)});
--- a/Libraries/LibDecide/Gate.h
+++ b/Libraries/LibDecide/Gate.h
@@ -34,9 +34,9 @@
     // call it is about.
 
     // A call of a class that goes first may displace a queued batch call; that one is in `actions`.
-    GateDecision offer(Instant now, const CallFacts &facts, std::vector<GateAction> &actions);
+    GateDecision offer(Instant now, const CallAttributes &facts, std::vector<GateAction> &actions);
     // Frees the slot of a started call. An unknown ticket is ignored.
-    void finish(Instant now, Ticket ticket, CallEnd end, std::vector<GateAction> &actions);
+    void finish(Instant now, Ticket ticket, CallOutcome end, std::vector<GateAction> &actions);
     // Takes a queued call out whose caller gave up. Does nothing to a started one: its slot is taken until
     // finish().
     void cancel(Instant now, Ticket ticket, std::vector<GateAction> &actions);
@@ -52,15 +52,15 @@
     // Queries.
 
     // What offer() would say now, without taking a place. Asked before an idempotency key is claimed.
-    bool wouldAdmit(Instant now, const CallFacts &facts) const;
+    bool wouldAdmit(Instant now, const CallAttributes &facts) const;
     std::uint32_t running() const;
     std::uint32_t queued() const;
     std::uint32_t freeSlots() const;
-    bool idle() const;
+    bool isIdle() const;
     UpstreamCondition condition() const;
     Duration expectedRunTime(CallClass callClass) const;
     Duration expectedWait(Instant now, CallClass callClass) const;
-    Duration expectedWait(Instant now, const CallFacts &facts) const
+    Duration expectedWait(Instant now, const CallAttributes &facts) const
     {
         return this->expectedWait(now, facts.callClass);
     }
@@ -89,8 +89,8 @@
     std::uint32_t runningOf(CallClass callClass) const;
     bool batchMayStart(Instant now) const;
     bool mayStartNow(Instant now, CallClass callClass) const;
-    bool inTime(Instant now, const CallFacts &facts, Duration wait) const;
-    RefusalReason refusal(Instant now, const CallFacts &facts) const;
+    bool inTime(Instant now, const CallAttributes &facts, Duration wait) const;
+    RefusalReason refusal(Instant now, const CallAttributes &facts) const;
     GateDecision refuse(Instant now, CallClass callClass, RefusalReason reason);
     Duration retryAfter(Instant now, CallClass callClass, RefusalReason reason);
     Duration jittered(Duration span);
--- a/Libraries/LibDecide/LoadBalancer.cpp
+++ b/Libraries/LibDecide/LoadBalancer.cpp
@@ -74,15 +74,15 @@
 
 } // namespace
 
-Placer::Placer(PlacerSettings settings, std::function<std::uint64_t()> random)
+LoadBalancer::LoadBalancer(LoadBalancerSettings settings, std::function<std::uint64_t()> random)
     : settings(settings)
     , random(std::move(random))
 {
 }
 
-std::optional<std::size_t> Placer::place(Instant now, std::span<const UpstreamFacts> candidates,
-                                         CallClass callClass, std::span<const std::size_t> tried,
-                                         std::uint64_t kind, std::size_t requestBytes)
+std::optional<std::size_t> LoadBalancer::pick(Instant now, std::span<const UpstreamCandidate> candidates,
+                                              CallClass callClass, std::span<const std::size_t> tried,
+                                              std::uint64_t kind, std::size_t requestBytes)
 {
     const Request request{now, candidates, callClass, tried, kind, this->zoneCost(kind, requestBytes)};
     const auto trusted = this->choose(request, true);
@@ -92,7 +92,7 @@
     return this->choose(request, false);
 }
 
-void Placer::started(std::string_view id, Instant now)
+void LoadBalancer::recordStart(std::string_view id, Instant now)
 {
     Upstream &upstream = this->obtain(id, now);
     if (upstream.outstanding == 0)
@@ -101,17 +101,17 @@
     upstream.toldExcess += 1;
 }
 
-void Placer::ended(std::string_view id, Instant now, CallClass callClass, Duration took, PlacedEnd end,
-                   std::uint64_t kind)
+void LoadBalancer::recordEnd(std::string_view id, Instant now, CallClass callClass, Duration took,
+                             AttemptOutcome end, std::uint64_t kind)
 {
     Upstream &upstream = this->obtain(id, now);
     if (upstream.outstanding > 0)
         upstream.outstanding -= 1;
     upstream.toldExcess -= 1;
-    if (end != PlacedEnd::Unknown && end != PlacedEnd::Cancelled)
+    if (end != AttemptOutcome::Unknown && end != AttemptOutcome::Cancelled)
         upstream.progressAt = now;
     switch (end) {
-    case PlacedEnd::Succeeded: {
+    case AttemptOutcome::Succeeded: {
         const double seconds = toSeconds(took);
         for (double *mean : {&upstream.took[indexOf(callClass)], &this->usualTook[indexOf(callClass)]})
             learn(*mean, seconds);
@@ -119,42 +119,43 @@
         noteTaken(upstream, kind);
         break;
     }
-    case PlacedEnd::Failed:
+    case AttemptOutcome::Failed:
         this->noteFailure(upstream, now, 1);
         break;
-    case PlacedEnd::Unknown:
+    case AttemptOutcome::Unknown:
         this->noteFailure(upstream, now, unknownWeight);
         break;
-    case PlacedEnd::RefusedNotRun:
+    case AttemptOutcome::RefusedNotRun:
         upstream.refusedAt = now;
         this->noteRefusal(upstream, kind, now);
         break;
-    case PlacedEnd::Cancelled:
+    case AttemptOutcome::Cancelled:
         break;
     }
 }
 
-void Placer::told(std::string_view id, Instant now, const ToldLoad &load, std::uint64_t kind)
+void LoadBalancer::recordReportedLoad(std::string_view id, Instant now, const ReportedLoad &load,
+                                      std::uint64_t kind)
 {
     Upstream &upstream = this->obtain(id, now);
     upstream.toldExcess = static_cast<double>(load.queued) - static_cast<double>(load.freeSlots);
     upstream.toldAt = now;
     upstream.toldDraining = load.draining;
     KindView &view = obtainKind(upstream, kind);
-    view.wait = toSeconds(load.wait);
+    view.wait = toSeconds(load.expectedWait);
     view.meanWait += tookWeight * (view.wait - view.meanWait);
     view.toldAt = now;
-    if (load.run <= Duration::zero())
+    if (load.runTime <= Duration::zero())
         return;
     if (this->usualKinds.size() >= mostKinds && !this->usualKinds.contains(kind))
         this->usualKinds.clear();
     KindUsual &usual = this->usualKinds[kind];
-    learn(view.run, toSeconds(load.run));
-    learn(usual.run, toSeconds(load.run));
+    learn(view.run, toSeconds(load.runTime));
+    learn(usual.run, toSeconds(load.runTime));
     learn(usual.answerBytes, static_cast<double>(load.answerBytes));
 }
 
-void Placer::forget(Instant before)
+void LoadBalancer::evictUnused(Instant before)
 {
     std::erase_if(this->upstreams, [&](const auto &entry) {
         const Upstream &upstream = entry.second;
@@ -166,21 +167,21 @@
     });
 }
 
-bool Placer::ejected(std::string_view id) const
+bool LoadBalancer::isEjected(std::string_view id) const
 {
     const Upstream *upstream = this->find(id);
     return upstream != nullptr && upstream->standing != Standing::Trusted;
 }
 
-std::uint32_t Placer::outstanding(std::string_view id) const
+std::uint32_t LoadBalancer::outstanding(std::string_view id) const
 {
     const Upstream *upstream = this->find(id);
     return upstream == nullptr ? 0 : upstream->outstanding;
 }
 
-bool Placer::Request::allows(std::size_t index, bool sameZone) const
+bool LoadBalancer::Request::allows(std::size_t index, bool sameZone) const
 {
-    const UpstreamFacts &facts = this->candidates[index];
+    const UpstreamCandidate &facts = this->candidates[index];
     const bool takesCalls =
         facts.condition == UpstreamCondition::Warming || facts.condition == UpstreamCondition::Ready;
     if (facts.sameZone != sameZone || !takesCalls)
@@ -188,13 +189,13 @@
     return std::find(this->tried.begin(), this->tried.end(), index) == this->tried.end();
 }
 
-const Placer::Upstream *Placer::find(std::string_view id) const
+const LoadBalancer::Upstream *LoadBalancer::find(std::string_view id) const
 {
     const auto found = this->upstreams.find(id);
     return found == this->upstreams.end() ? nullptr : &found->second;
 }
 
-Placer::Upstream &Placer::obtain(std::string_view id, Instant now)
+LoadBalancer::Upstream &LoadBalancer::obtain(std::string_view id, Instant now)
 {
     auto found = this->upstreams.find(id);
     if (found == this->upstreams.end())
@@ -203,7 +204,7 @@
     return found->second;
 }
 
-bool Placer::usable(const Upstream *upstream, const Request &request, bool trustedOnly)
+bool LoadBalancer::usable(const Upstream *upstream, const Request &request, bool trustedOnly)
 {
     if (upstream == nullptr)
         return true;
@@ -220,7 +221,8 @@
 // a call of this kind; for other moments it is reckoned by the calls that are there. Own outstanding calls
 // are exact. Told load holds the other nodes' part, but loses weight as it ages: it was true when the gate
 // wrote it, and a whole fleet that still acts on it would flood the one that looked idle.
-double Placer::score(const UpstreamFacts &facts, const Upstream *upstream, const Request &request) const
+double LoadBalancer::score(const UpstreamCandidate &facts, const Upstream *upstream,
+                           const Request &request) const
 {
     const double slots = std::max(1U, facts.slots);
     const double way = facts.sameZone ? 0 : request.zoneCost;
@@ -239,15 +241,16 @@
 }
 
 // What was told a moment ago, then what is usual.
-double Placer::expectedWait(const KindView &view, Instant now) const
+double LoadBalancer::expectedWait(const KindView &view, Instant now) const
 {
     if (view.toldAt == Instant::min())
         return 0;
-    const double fresh = std::exp(-toSeconds(now - view.toldAt) / toSeconds(this->settings.toldLoadLife));
+    const double fresh =
+        std::exp(-toSeconds(now - view.toldAt) / toSeconds(this->settings.reportedLoadDecay));
     return fresh * view.wait + (1 - fresh) * view.meanWait;
 }
 
-double Placer::usualRun(const Request &request) const
+double LoadBalancer::usualRun(const Request &request) const
 {
     const auto known = this->usualKinds.find(request.kind);
     if (known != this->usualKinds.end() && known->second.run > 0)
@@ -260,27 +263,27 @@
 // full. Harm of spreading by load alone: two thirds of all calls cross zones. Harm of leaving a zone only
 // when it refuses: a zone's one upstream makes its callers wait for 170 ms while half of the others' slots
 // are free. So a call crosses when its answer comes earlier by what its kilobytes cost.
-double Placer::zoneCost(std::uint64_t kind, std::size_t requestBytes) const
+double LoadBalancer::zoneCost(std::uint64_t kind, std::size_t requestBytes) const
 {
     const auto known = this->usualKinds.find(kind);
     const double answerBytes = known == this->usualKinds.end() ? 0 : known->second.answerBytes;
     const double kilobytes = (static_cast<double>(requestBytes) + answerBytes + bytesOfAnyCall) / 1024;
-    return toSeconds(this->settings.otherZoneCost)
-           + kilobytes * toSeconds(this->settings.otherZoneKilobyteCost);
+    return toSeconds(this->settings.crossZoneCost)
+           + kilobytes * toSeconds(this->settings.crossZoneCostPerKilobyte);
 }
 
 // Calls of other nodes there, from what the gate told.
-double Placer::others(const Upstream &upstream, double slots, Instant now) const
+double LoadBalancer::others(const Upstream &upstream, double slots, Instant now) const
 {
     if (upstream.toldAt == Instant::min())
         return 0;
-    const double age = toSeconds(now - upstream.toldAt) / toSeconds(this->settings.toldLoadLife);
+    const double age = toSeconds(now - upstream.toldAt) / toSeconds(this->settings.reportedLoadDecay);
     return std::max(0.0, slots + upstream.toldExcess - upstream.outstanding) * std::exp(-age);
 }
 
 // Failure: a host is gone without a word, and its calls come back only when their time is out. Symptom: it
 // draws calls until then. While several wait there, what it takes is at least its silence.
-double Placer::silence(const Upstream &upstream, double usual, Instant now)
+double LoadBalancer::silence(const Upstream &upstream, double usual, Instant now)
 {
     if (upstream.outstanding < fewestSilent)
         return 0;
@@ -290,7 +293,7 @@
 
 // Failure: an upstream is absent or full and membership says that it is ready. Symptom: every call tries it
 // first and spends its retries. One that refused a moment ago is tried after the others.
-double Placer::refusal(const Upstream &upstream, Instant now)
+double LoadBalancer::refusal(const Upstream &upstream, Instant now)
 {
     if (upstream.refusedAt == Instant::min())
         return 0;
@@ -301,7 +304,7 @@
 // a moment ago. Harm of always taking the best: all take the same one. A random few avoid that and come close
 // to the best. The other zones' way counts in the score, so they are used only when this zone's wait is above
 // it.
-std::optional<std::size_t> Placer::choose(const Request &request, bool trustedOnly)
+std::optional<std::size_t> LoadBalancer::choose(const Request &request, bool trustedOnly)
 {
     Best best;
     this->compare(request, true, trustedOnly, best);
@@ -312,27 +315,27 @@
 // Failure: the last upstream of a zone leaves. Symptom: with the refusals of other zones remembered, the
 // zone's callers are refused without one try for most of the time, while those zones answer two calls in
 // three of that kind. So the first try of a call is always made.
-bool Placer::isInVain(const Upstream &upstream, const Request &request) const
+bool LoadBalancer::isInVain(const Upstream &upstream, const Request &request) const
 {
-    if (this->settings.otherZoneKilobyteCost == Duration::zero() || request.tried.empty())
+    if (this->settings.crossZoneCostPerKilobyte == Duration::zero() || request.tried.empty())
         return false;
     const KindView *known = findKind(upstream, request.kind);
     if (known == nullptr || known->refusedInRow == 0)
         return false;
     constexpr std::uint32_t mostDoublingsOfLife = 16;
     const auto factor = std::int64_t{1} << std::min(known->refusedInRow - 1, mostDoublingsOfLife);
-    const Duration life =
-        std::min<Duration>(this->settings.longestRefusedKindLife, this->settings.refusedKindLife * factor);
+    const Duration life = std::min<Duration>(this->settings.maximumRefusalBackoff,
+                                             this->settings.initialRefusalBackoff * factor);
     return request.now - known->refusedAt < life;
 }
 
-const Placer::KindView *Placer::findKind(const Upstream &upstream, std::uint64_t kind)
+const LoadBalancer::KindView *LoadBalancer::findKind(const Upstream &upstream, std::uint64_t kind)
 {
     const auto known = std::ranges::find(upstream.kinds, kind, &KindView::kind);
     return known == upstream.kinds.end() ? nullptr : &*known;
 }
 
-Placer::KindView &Placer::obtainKind(Upstream &upstream, std::uint64_t kind)
+LoadBalancer::KindView &LoadBalancer::obtainKind(Upstream &upstream, std::uint64_t kind)
 {
     const auto known = std::ranges::find(upstream.kinds, kind, &KindView::kind);
     if (known != upstream.kinds.end())
@@ -345,15 +348,15 @@
 }
 
 // Refusals of calls that were placed together count once: they say the same.
-void Placer::noteRefusal(Upstream &upstream, std::uint64_t kind, Instant now)
+void LoadBalancer::noteRefusal(Upstream &upstream, std::uint64_t kind, Instant now)
 {
     KindView &view = obtainKind(upstream, kind);
-    if (view.refusedInRow == 0 || now - view.refusedAt >= this->settings.refusedKindLife)
+    if (view.refusedInRow == 0 || now - view.refusedAt >= this->settings.initialRefusalBackoff)
         view.refusedInRow += 1;
     view.refusedAt = now;
 }
 
-void Placer::noteTaken(Upstream &upstream, std::uint64_t kind)
+void LoadBalancer::noteTaken(Upstream &upstream, std::uint64_t kind)
 {
     const auto known = std::ranges::find(upstream.kinds, kind, &KindView::kind);
     if (known != upstream.kinds.end())
@@ -362,7 +365,7 @@
 
 // Goes through the eligible ones of a zone from a random one on. Ranks are counted among the eligible, since
 // a random position in the list would favour the first one behind a run of others.
-void Placer::compare(const Request &request, bool sameZone, bool trustedOnly, Best &best)
+void LoadBalancer::compare(const Request &request, bool sameZone, bool trustedOnly, Best &best)
 {
     const std::size_t count = request.candidates.size();
     std::size_t eligible = 0;
@@ -382,7 +385,7 @@
             continue;
         if (itsRank >= first + eligible)
             return;
-        const UpstreamFacts &facts = request.candidates[index];
+        const UpstreamCandidate &facts = request.candidates[index];
         const Upstream *upstream = this->find(facts.id);
         if (!usable(upstream, request, trustedOnly))
             continue;
@@ -397,7 +400,7 @@
 
 // Load: an upstream that fails at once looks idle and quick, whatever its health endpoint says. Harm: it
 // draws all calls and fails them. It is ejected on what this node saw of its own calls.
-void Placer::noteFailure(Upstream &upstream, Instant now, std::uint32_t weight)
+void LoadBalancer::noteFailure(Upstream &upstream, Instant now, std::uint32_t weight)
 {
     const double keep = 1 - 1 / endsRemembered;
     upstream.failures = upstream.failures * keep + 1;
@@ -412,7 +415,7 @@
         this->eject(upstream, now);
 }
 
-void Placer::noteSuccess(Upstream &upstream)
+void LoadBalancer::noteSuccess(Upstream &upstream)
 {
     const double keep = 1 - 1 / endsRemembered;
     upstream.failures *= keep;
@@ -432,10 +435,10 @@
 
 // Harm of ejecting without a bound: one bad answer of a shared dependency ejects every upstream, and the few
 // that are left are crushed. At most a share is out at once; the others stay in however they fail.
-void Placer::eject(Upstream &upstream, Instant now)
+void LoadBalancer::eject(Upstream &upstream, Instant now)
 {
     if (upstream.standing == Standing::Trusted) {
-        const double most = this->settings.ejectedShare * static_cast<double>(this->upstreams.size());
+        const double most = this->settings.maximumEjectedShare * static_cast<double>(this->upstreams.size());
         if (static_cast<double>(this->ejectedCount + 1) > most)
             return;
         this->ejectedCount += 1;
--- a/Libraries/LibDecide/LoadBalancer.h
+++ b/Libraries/LibDecide/LoadBalancer.h
@@ -20,7 +20,7 @@
 namespace Sagecrank {
 
 // What membership says about one upstream.
-struct UpstreamFacts
+struct UpstreamCandidate
 {
     std::string_view id;
     bool sameZone = false;
@@ -30,7 +30,7 @@
 };
 
 // How a call ended as its sender saw it.
-enum class PlacedEnd : std::uint8_t {
+enum class AttemptOutcome : std::uint8_t {
     Succeeded,
     Failed,        // The upstream answered with a failure of its own or broke the connection.
     RefusedNotRun, // The gate refused it.
@@ -38,65 +38,67 @@
     Cancelled,     // The caller gave up; it says nothing about the upstream.
 };
 
-inline constexpr EnumNames<PlacedEnd, 5> placedEndNames{{
-    {PlacedEnd::Succeeded, "succeeded"},
-    {PlacedEnd::Failed, "failed"},
-    {PlacedEnd::RefusedNotRun, "refused_not_run"},
-    {PlacedEnd::Unknown, "unknown"},
-    {PlacedEnd::Cancelled, "cancelled"},
+inline constexpr EnumNames<AttemptOutcome, 5> attemptOutcomeNames{{
+    {AttemptOutcome::Succeeded, "succeeded"},
+    {AttemptOutcome::Failed, "failed"},
+    {AttemptOutcome::RefusedNotRun, "refused_not_run"},
+    {AttemptOutcome::Unknown, "unknown"},
+    {AttemptOutcome::Cancelled, "cancelled"},
 }};
 
 // What a gate put on its answer.
-struct ToldLoad
+struct ReportedLoad
 {
     std::uint32_t freeSlots = 0;
     std::uint32_t queued = 0;
     bool draining = false;
-    Duration run{};              // Of the answered call; zero when it did not run.
-    Duration wait{};             // Until a slot is free for a call like it, if it came now.
+    Duration runTime{};          // Of the answered call; zero when it did not run.
+    Duration expectedWait{};     // Until a slot is free for a call like it, if it came now.
     std::size_t answerBytes = 0; // Of the answered call.
 };
 
-struct PlacerSettings
+struct LoadBalancerSettings
 {
     std::size_t choices = 2; // How many of this zone, and of the others, are compared for each call.
-    Duration otherZoneCost = std::chrono::milliseconds(1); // Round trip to another zone beyond one's own.
+    Duration crossZoneCost = std::chrono::milliseconds(1); // Round trip to another zone beyond one's own.
     // How much later an answer may come for each kilobyte that its call then keeps within the zone.
-    Duration otherZoneKilobyteCost{};
-    double ejectedShare = 0.5; // At most this share is ejected at once.
+    Duration crossZoneCostPerKilobyte{};
+    double maximumEjectedShare = 0.5; // At most this share is ejected at once.
     // An upstream of another zone that refused a call of a kind is not asked for that kind again for this
     // long, twice as long after each further refusal in a row: under full load each try would cost its bytes
     // and bring nothing.
-    Duration refusedKindLife = std::chrono::milliseconds(150);
-    Duration longestRefusedKindLife = std::chrono::milliseconds(1200);
-    Duration toldLoadLife = std::chrono::milliseconds(100); // Told load loses most of its weight after this.
+    Duration initialRefusalBackoff = std::chrono::milliseconds(150);
+    Duration maximumRefusalBackoff = std::chrono::milliseconds(1200);
+    Duration reportedLoadDecay =
+        std::chrono::milliseconds(100); // Told load loses most of its weight after this.
 };
 
-class Placer
+class LoadBalancer
 {
 public:
     // `random` returns uniformly distributed numbers.
-    Placer(PlacerSettings settings, std::function<std::uint64_t()> random);
+    LoadBalancer(LoadBalancerSettings settings, std::function<std::uint64_t()> random);
 
     // Commands.
 
     // The index of the candidate that the call goes to, or nothing when none may take it. `tried` holds the
     // indices that this call was already sent to. Draining and absent upstreams get nothing, whatever else is
     // so.
-    std::optional<std::size_t> place(Instant now, std::span<const UpstreamFacts> candidates,
-                                     CallClass callClass, std::span<const std::size_t> tried,
-                                     std::uint64_t kind = 0, std::size_t requestBytes = 0);
-    void started(std::string_view id, Instant now);
-    void ended(std::string_view id, Instant now, CallClass callClass, Duration took, PlacedEnd end,
-               std::uint64_t kind = 0);
+    std::optional<std::size_t> pick(Instant now, std::span<const UpstreamCandidate> candidates,
+                                    CallClass callClass, std::span<const std::size_t> tried,
+                                    std::uint64_t kind = 0, std::size_t requestBytes = 0);
+    void recordStart(std::string_view id, Instant now);
+    void recordEnd(std::string_view id, Instant now, CallClass callClass, Duration took, AttemptOutcome end,
+                   std::uint64_t kind = 0);
     // The load that the gate put on its last answer.
-    void told(std::string_view id, Instant now, const ToldLoad &load, std::uint64_t kind = 0);
+    void recordReportedLoad(std::string_view id, Instant now, const ReportedLoad &load,
+                            std::uint64_t kind = 0);
     // Drops what is known of upstreams that have not been used since `before`.
-    void forget(Instant before);
+    void evictUnused(Instant before);
 
     // Queries.
 
-    bool ejected(std::string_view id) const;
+    bool isEjected(std::string_view id) const;
     std::uint32_t outstanding(std::string_view id) const;
 
 private:
@@ -152,7 +154,7 @@
     struct Request
     {
         Instant now;
-        std::span<const UpstreamFacts> candidates;
+        std::span<const UpstreamCandidate> candidates;
         CallClass callClass;
         std::span<const std::size_t> tried;
         std::uint64_t kind = 0;
@@ -180,7 +182,7 @@
     bool isInVain(const Upstream &upstream, const Request &request) const;
     void compare(const Request &request, bool sameZone, bool trustedOnly, Best &best);
     static bool usable(const Upstream *upstream, const Request &request, bool trustedOnly);
-    double score(const UpstreamFacts &facts, const Upstream *upstream, const Request &request) const;
+    double score(const UpstreamCandidate &facts, const Upstream *upstream, const Request &request) const;
     double others(const Upstream &upstream, double slots, Instant now) const;
     static double silence(const Upstream &upstream, double usual, Instant now);
     static double refusal(const Upstream &upstream, Instant now);
@@ -188,7 +190,7 @@
     void noteSuccess(Upstream &upstream);
     void eject(Upstream &upstream, Instant now);
 
-    PlacerSettings settings;
+    LoadBalancerSettings settings;
     std::function<std::uint64_t()> random;
     std::unordered_map<std::string, Upstream, TextHash, std::equal_to<>> upstreams;
     std::size_t ejectedCount = 0;      // Upstreams whose standing is not Trusted.
--- a/Libraries/LibDecide/Retry.cpp
+++ b/Libraries/LibDecide/Retry.cpp
@@ -28,7 +28,7 @@
 
 } // namespace
 
-bool maySendAgain(CallPhase phase, bool idempotent, bool refusedNotRun)
+bool isRetrySafe(CallPhase phase, bool idempotent, bool refusedNotRun)
 {
     if (phase == CallPhase::NotSent || refusedNotRun)
         return true;
@@ -42,7 +42,7 @@
 {
 }
 
-void RetryBudget::firstTry(Instant now)
+void RetryBudget::recordFirstAttempt(Instant now)
 {
     this->refill(now);
     this->recentTries += 1;
@@ -50,7 +50,7 @@
     this->tokens = std::min(this->tokens + this->share, this->reserve + this->share * this->recentTries);
 }
 
-bool RetryBudget::tryRetry(Instant now)
+bool RetryBudget::tryAcquireRetry(Instant now)
 {
     this->refill(now);
     if (this->tokens < 1 || !this->windowAllows(now))
@@ -94,7 +94,7 @@
     this->tokens = std::min(this->tokens + this->reserve * elapsed / budgetWindow, top);
 }
 
-void HedgeDelay::observed(Duration took)
+void HedgeDelay::observe(Duration took)
 {
     const double seconds = std::max(firstBucket, std::chrono::duration<double>(took).count());
     const double position = std::log(seconds / firstBucket) / std::log(bucketGrowth);
--- a/Libraries/LibDecide/Retry.h
+++ b/Libraries/LibDecide/Retry.h
@@ -20,7 +20,7 @@
 // Failure: a call breaks off and its caller's node does not know how far it got. Symptom of sending it again:
 // a reservation runs twice. Sending again is safe in three cases only: nothing left the node, the peer proved
 // that it did not run, or running twice does no harm.
-bool maySendAgain(CallPhase phase, bool idempotent, bool refusedNotRun);
+bool isRetrySafe(CallPhase phase, bool idempotent, bool refusedNotRun);
 
 // Load: an upstream or zone fails, and every call to it is tried again. Harm: the retries double the load on
 // what is left, which then fails too. Retries stay within a share of recent first tries, so that they add at
@@ -32,9 +32,9 @@
 
     // Commands.
 
-    void firstTry(Instant now);
+    void recordFirstAttempt(Instant now);
     // Takes one retry out of the budget; false when there is none.
-    bool tryRetry(Instant now);
+    bool tryAcquireRetry(Instant now);
 
     // For an allowance that several nodes share: this node's part of it, which changes with their number.
     void setReserve(double reserve) { this->reserve = reserve; }
@@ -73,7 +73,7 @@
 public:
     // Commands.
 
-    void observed(Duration took);
+    void observe(Duration took);
 
     // Queries.
 
--- a/Libraries/LibDecide/RetryMatcher.cpp
+++ b/Libraries/LibDecide/RetryMatcher.cpp
@@ -20,7 +20,7 @@
 
 } // namespace
 
-void ReturningCallers::refused(Instant now, std::uint64_t kind, Instant givesUp, Instant firstCame)
+void RetryMatcher::recordRefusal(Instant now, std::uint64_t kind, Instant givesUp, Instant firstCame)
 {
     if (this->byKind.size() >= mostKinds && !this->byKind.contains(kind))
         this->byKind.clear();
@@ -31,7 +31,7 @@
     known.push_back({givesUp, firstCame});
 }
 
-std::optional<Instant> ReturningCallers::recognise(Instant now, std::uint64_t kind, Instant givesUp)
+std::optional<Instant> RetryMatcher::matchRetry(Instant now, std::uint64_t kind, Instant givesUp)
 {
     const auto known = this->byKind.find(kind);
     if (known == this->byKind.end())
--- a/Libraries/LibDecide/RetryMatcher.h
+++ b/Libraries/LibDecide/RetryMatcher.h
@@ -19,17 +19,17 @@
 namespace Sagecrank {
 
 // Not thread-safe.
-class ReturningCallers
+class RetryMatcher
 {
 public:
     // Commands.
 
     // A call of the kind was refused as not run, and its caller may come back until `givesUp`.
-    void refused(Instant now, std::uint64_t kind, Instant givesUp, Instant firstCame);
+    void recordRefusal(Instant now, std::uint64_t kind, Instant givesUp, Instant firstCame);
 
     // When the caller of a call that has just come made its first try, if this is a further one. Each refusal
     // is matched once.
-    std::optional<Instant> recognise(Instant now, std::uint64_t kind, Instant givesUp);
+    std::optional<Instant> matchRetry(Instant now, std::uint64_t kind, Instant givesUp);
 
 private:
     struct Refused
--- a/Libraries/LibDecide/RunTimes.cpp
+++ b/Libraries/LibDecide/RunTimes.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-void RunTimes::observed(CallClass callClass, Duration took)
+void RunTimes::observe(CallClass callClass, Duration took)
 {
     Estimate &estimate = this->estimates[static_cast<std::size_t>(callClass)];
     const double seconds = std::chrono::duration<double>(took).count();
@@ -43,7 +43,7 @@
     return fromSeconds(this->of(callClass).observations > 0 ? this->of(callClass).mean : firstGuess);
 }
 
-Duration RunTimes::quick(CallClass callClass) const
+Duration RunTimes::optimistic(CallClass callClass) const
 {
     const Estimate &estimate = this->of(callClass);
     if (estimate.observations == 0)
--- a/Libraries/LibDecide/RunTimes.h
+++ b/Libraries/LibDecide/RunTimes.h
@@ -15,7 +15,7 @@
     // Commands.
 
     // Only successes count: an upstream that fails fast would otherwise look quick.
-    void observed(CallClass callClass, Duration took);
+    void observe(CallClass callClass, Duration took);
 
     // Queries.
 
@@ -23,7 +23,7 @@
     // What a quick call of the class takes. A call is refused for its deadline alone only against this one:
     // the mean would turn away calls that make it half of the time, and after one slow spell it would turn
     // away every call whose answer could correct it.
-    Duration quick(CallClass callClass) const;
+    Duration optimistic(CallClass callClass) const;
 
 private:
     struct Estimate
--- a/Libraries/LibDecide/SlotShares.cpp
+++ b/Libraries/LibDecide/SlotShares.cpp
@@ -40,7 +40,7 @@
     seconds = std::max(0.0, seconds + std::chrono::duration<double>(slotTime).count());
 }
 
-bool SlotShares::owed(CallClass callClass) const
+bool SlotShares::isBelowGuarantee(CallClass callClass) const
 {
     double total = 0;
     for (const double seconds : this->used)
@@ -48,16 +48,16 @@
     return this->used[indexOf(callClass)] < owedShares[indexOf(callClass)] * total;
 }
 
-double SlotShares::owedPart(CallClass callClass)
+double SlotShares::guaranteedShare(CallClass callClass)
 {
     return std::max(leastPart, owedShares[indexOf(callClass)]);
 }
 
-double SlotShares::leftPart(Instant now, CallClass callClass, double slots) const
+double SlotShares::remainingShare(Instant now, CallClass callClass, double slots) const
 {
     const double kept = this->fading(now);
     double left = 1;
-    for (const CallClass ahead : classOrder) {
+    for (const CallClass ahead : classPriorityOrder) {
         if (ahead >= callClass)
             break;
         left -= kept * this->used[indexOf(ahead)] / (slots * window);
--- a/Libraries/LibDecide/SlotShares.h
+++ b/Libraries/LibDecide/SlotShares.h
@@ -10,8 +10,8 @@
 namespace Sagecrank {
 
 // The order in which classes go when none is owed anything.
-inline constexpr std::array<CallClass, 3> classOrder{CallClass::Interactive, CallClass::NonIdempotent,
-                                                     CallClass::Batch};
+inline constexpr std::array<CallClass, 3> classPriorityOrder{CallClass::Interactive, CallClass::NonIdempotent,
+                                                             CallClass::Batch};
 
 class SlotShares
 {
@@ -26,11 +26,11 @@
     // Queries.
 
     // Whether the class used less lately than it is owed.
-    bool owed(CallClass callClass) const;
+    bool isBelowGuarantee(CallClass callClass) const;
     // The part of the slots that the class is owed at least.
-    static double owedPart(CallClass callClass);
+    static double guaranteedShare(CallClass callClass);
     // The part of the slots that the classes ahead of this one have left it lately.
-    double leftPart(Instant now, CallClass callClass, double slots) const;
+    double remainingShare(Instant now, CallClass callClass, double slots) const;
 
 private:
     double fading(Instant now) const;
--- a/Libraries/LibDecide/TargetGate.cpp
+++ b/Libraries/LibDecide/TargetGate.cpp
@@ -16,7 +16,7 @@
 {
 }
 
-GateDecision TargetGate::offer(Instant now, const CallFacts &facts, std::vector<GateAction> &actions)
+GateDecision TargetGate::offer(Instant now, const CallAttributes &facts, std::vector<GateAction> &actions)
 {
     Kind &kind = this->obtain(now, facts);
     const RefusalReason reason = this->refusal(now, facts);
@@ -37,7 +37,7 @@
     return GateDecision{GateVerdict::Queue, ticket, RefusalReason::None, Duration::zero()};
 }
 
-void TargetGate::finish(Instant now, Ticket ticket, CallEnd end, std::vector<GateAction> &actions)
+void TargetGate::finish(Instant now, Ticket ticket, CallOutcome end, std::vector<GateAction> &actions)
 {
     const auto found = std::find_if(this->runningCalls.begin(), this->runningCalls.end(),
                                     [ticket](const Running &call) { return call.ticket == ticket; });
@@ -47,11 +47,11 @@
     *found = this->runningCalls.back();
     this->runningCalls.pop_back();
     const Duration took = now - ended.startedAt;
-    if (end == CallEnd::Succeeded)
+    if (end == CallOutcome::Succeeded)
         this->observe(ended.kind, took);
     // A call that was cut off would have run at least as long; that counts when it is more than the usual.
     const Kind *kind = this->find(ended.kind);
-    if (end == CallEnd::Cancelled && kind != nullptr && toSeconds(took) > kind->mean)
+    if (end == CallOutcome::Cancelled && kind != nullptr && toSeconds(took) > kind->mean)
         this->observe(ended.kind, took);
     this->startWaiting(now, actions);
 }
@@ -86,7 +86,7 @@
     this->settings.maximumQueue = maximumQueue;
 }
 
-bool TargetGate::wouldAdmit(Instant now, const CallFacts &facts) const
+bool TargetGate::wouldAdmit(Instant now, const CallAttributes &facts) const
 {
     return this->refusal(now, facts) == RefusalReason::None;
 }
@@ -120,7 +120,7 @@
 // that another try would need. It is refused at once: when it cannot be answered before its deadline, or only
 // after its target while there may be a better place, or when it would be late and everything in time goes
 // before it.
-RefusalReason TargetGate::refusal(Instant now, const CallFacts &facts) const
+RefusalReason TargetGate::refusal(Instant now, const CallAttributes &facts) const
 {
     if (this->state == UpstreamCondition::Draining)
         return RefusalReason::Draining;
@@ -146,7 +146,7 @@
         return RefusalReason::None;
     if (!facts.lateAccepted)
         return RefusalReason::TargetTooNear;
-    CallFacts late = facts;
+    CallAttributes late = facts;
     late.target = now - 1h;
     if (this->lateIsHopeless(now, facts))
         return RefusalReason::TargetTooNear;
@@ -154,14 +154,14 @@
     return now + lateWait + run < facts.deadline ? RefusalReason::None : RefusalReason::DeadlineTooNear;
 }
 
-GateDecision TargetGate::refuse(Instant now, const CallFacts &facts, RefusalReason reason)
+GateDecision TargetGate::refuse(Instant now, const CallAttributes &facts, RefusalReason reason)
 {
     return GateDecision{GateVerdict::Refuse, 0, reason, this->retryAfter(now, facts, reason)};
 }
 
 // Load: a burst that is refused together. Harm: told the same moment, all of it returns together and is
 // refused again. Each refused caller is given a turn of its own, one run time of a slot after the last one's.
-Duration TargetGate::retryAfter(Instant now, const CallFacts &facts, RefusalReason reason)
+Duration TargetGate::retryAfter(Instant now, const CallAttributes &facts, RefusalReason reason)
 {
     if (reason == RefusalReason::Draining || reason == RefusalReason::NotReady)
         return this->jittered(absentRetryAfter);
@@ -180,7 +180,7 @@
     return fromSeconds(toSeconds(span) * (0.75 + 0.5 * uniform));
 }
 
-void TargetGate::begin(Instant now, Ticket ticket, const CallFacts &facts)
+void TargetGate::begin(Instant now, Ticket ticket, const CallAttributes &facts)
 {
     Kind &kind = this->obtain(now, facts);
     kind.started += 1;
--- a/Libraries/LibDecide/TargetGate.h
+++ b/Libraries/LibDecide/TargetGate.h
@@ -33,8 +33,8 @@
     explicit TargetGate(TargetGateSettings settings);
 
     // Commands: as Gate's.
-    GateDecision offer(Instant now, const CallFacts &facts, std::vector<GateAction> &actions);
-    void finish(Instant now, Ticket ticket, CallEnd end, std::vector<GateAction> &actions);
+    GateDecision offer(Instant now, const CallAttributes &facts, std::vector<GateAction> &actions);
+    void finish(Instant now, Ticket ticket, CallOutcome end, std::vector<GateAction> &actions);
     void cancel(Instant now, Ticket ticket, std::vector<GateAction> &actions);
     void advance(Instant now, std::vector<GateAction> &actions);
     void setState(Instant now, UpstreamCondition condition, std::uint32_t slots,
@@ -42,14 +42,14 @@
     void setMaximumQueue(std::uint32_t maximumQueue);
 
     // Queries.
-    bool wouldAdmit(Instant now, const CallFacts &facts) const;
+    bool wouldAdmit(Instant now, const CallAttributes &facts) const;
     std::uint32_t running() const { return static_cast<std::uint32_t>(this->runningCalls.size()); }
     std::uint32_t queued() const { return static_cast<std::uint32_t>(this->waitingCalls.size()); }
     std::uint32_t freeSlots() const;
     UpstreamCondition condition() const { return this->state; }
     std::optional<Instant> nextDeadline() const; // When advance() must be called next.
     // Until a slot is free for such a call, if it came now.
-    Duration expectedWait(Instant now, const CallFacts &facts) const;
+    Duration expectedWait(Instant now, const CallAttributes &facts) const;
 
 private:
     // What is known of the calls of one kind.
@@ -69,7 +69,7 @@
     struct Waiting
     {
         Ticket ticket = 0;
-        CallFacts facts;
+        CallAttributes facts;
     };
 
     struct Running
@@ -91,28 +91,28 @@
 
     bool takesCalls() const;
     const Kind *find(std::uint64_t kind) const;
-    Kind &obtain(Instant now, const CallFacts &facts);
+    Kind &obtain(Instant now, const CallAttributes &facts);
     void fade(Kind &kind, Instant now) const;
-    Duration usualRun(Instant now, const CallFacts &facts) const;
-    Duration quickRun(const CallFacts &facts) const;
-    Duration likelyRun(Instant now, const CallFacts &facts) const;
-    bool inTime(Instant now, const CallFacts &facts) const;
-    Rank rankOf(Instant now, const CallFacts &facts, Ticket ticket) const;
+    Duration usualRun(Instant now, const CallAttributes &facts) const;
+    Duration quickRun(const CallAttributes &facts) const;
+    Duration likelyRun(Instant now, const CallAttributes &facts) const;
+    bool inTime(Instant now, const CallAttributes &facts) const;
+    Rank rankOf(Instant now, const CallAttributes &facts, Ticket ticket) const;
     static bool ranksBefore(const Rank &left, const Rank &right);
     bool isStarved(std::uint64_t kind) const;
-    bool isLong(Instant now, const CallFacts &facts) const;
-    std::uint32_t slotsForLong(Instant now, const CallFacts &facts) const;
+    bool isLong(Instant now, const CallAttributes &facts) const;
+    std::uint32_t slotsForLong(Instant now, const CallAttributes &facts) const;
     double recentLoad(Instant now, const Kind &kind) const;
-    bool leavesReserve(Instant now, const CallFacts &facts) const;
-    bool mayStartNow(Instant now, const CallFacts &facts) const;
-    double shareAhead(Instant now, const CallFacts &facts, const Rank &rank) const;
+    bool leavesReserve(Instant now, const CallAttributes &facts) const;
+    bool mayStartNow(Instant now, const CallAttributes &facts) const;
+    double shareAhead(Instant now, const CallAttributes &facts, const Rank &rank) const;
     bool longOnesGoBefore(Instant now, const Rank &rank) const;
-    bool lateIsHopeless(Instant now, const CallFacts &facts) const;
-    RefusalReason refusal(Instant now, const CallFacts &facts) const;
-    GateDecision refuse(Instant now, const CallFacts &facts, RefusalReason reason);
-    Duration retryAfter(Instant now, const CallFacts &facts, RefusalReason reason);
+    bool lateIsHopeless(Instant now, const CallAttributes &facts) const;
+    RefusalReason refusal(Instant now, const CallAttributes &facts) const;
+    GateDecision refuse(Instant now, const CallAttributes &facts, RefusalReason reason);
+    Duration retryAfter(Instant now, const CallAttributes &facts, RefusalReason reason);
     Duration jittered(Duration span);
-    void begin(Instant now, Ticket ticket, const CallFacts &facts);
+    void begin(Instant now, Ticket ticket, const CallAttributes &facts);
     void startWaiting(Instant now, std::vector<GateAction> &actions);
     void refuseHopeless(Instant now, std::vector<GateAction> &actions);
     void observe(std::uint64_t kind, Duration took);
--- a/Libraries/LibDecide/TargetGateRank.cpp
+++ b/Libraries/LibDecide/TargetGateRank.cpp
@@ -15,7 +15,7 @@
     return found == this->kinds.end() ? nullptr : &found->second;
 }
 
-TargetGate::Kind &TargetGate::obtain(Instant now, const CallFacts &facts)
+TargetGate::Kind &TargetGate::obtain(Instant now, const CallAttributes &facts)
 {
     if (this->kinds.size() >= mostKinds && !this->kinds.contains(facts.kind))
         this->forgetOldKinds();
@@ -69,7 +69,7 @@
     kind.deviation += weight * (distance - kind.deviation);
 }
 
-Duration TargetGate::usualRun(Instant now, const CallFacts &facts) const
+Duration TargetGate::usualRun(Instant now, const CallAttributes &facts) const
 {
     const Kind *kind = this->find(facts.kind);
     if (kind != nullptr && kind->observations > 0)
@@ -82,7 +82,7 @@
 
 // What a quick call of the kind takes. A call that could start at once is judged by this one: the mean would
 // turn away calls that make it half of the time.
-Duration TargetGate::quickRun(const CallFacts &facts) const
+Duration TargetGate::quickRun(const CallAttributes &facts) const
 {
     const Kind *kind = this->find(facts.kind);
     if (kind == nullptr || kind->observations == 0)
@@ -91,19 +91,19 @@
 }
 
 // What most calls of the kind take. A call that waits is judged by this one.
-Duration TargetGate::likelyRun(Instant now, const CallFacts &facts) const
+Duration TargetGate::likelyRun(Instant now, const CallAttributes &facts) const
 {
     const Kind *kind = this->find(facts.kind);
     const double deviation = kind == nullptr ? 0 : kind->deviation;
     return this->usualRun(now, facts) + fromSeconds(likelyDeviations * deviation);
 }
 
-bool TargetGate::inTime(Instant now, const CallFacts &facts) const
+bool TargetGate::inTime(Instant now, const CallAttributes &facts) const
 {
     return !facts.target || now + this->quickRun(facts) <= *facts.target;
 }
 
-TargetGate::Rank TargetGate::rankOf(Instant now, const CallFacts &facts, Ticket ticket) const
+TargetGate::Rank TargetGate::rankOf(Instant now, const CallAttributes &facts, Ticket ticket) const
 {
     const Duration run = this->usualRun(now, facts);
     Rank rank;
@@ -137,7 +137,7 @@
 }
 
 // Whether such a call runs longer than some kind that is not less urgent can wait.
-bool TargetGate::isLong(Instant now, const CallFacts &facts) const
+bool TargetGate::isLong(Instant now, const CallAttributes &facts) const
 {
     const double run = toSeconds(this->usualRun(now, facts));
     return std::any_of(this->kinds.begin(), this->kinds.end(), [&](const auto &entry) {
@@ -150,7 +150,7 @@
 
 // Slots that calls which run long may hold together: those that the quick ones leave, with some to spare for
 // the moments when several come at once.
-std::uint32_t TargetGate::slotsForLong(Instant now, const CallFacts &facts) const
+std::uint32_t TargetGate::slotsForLong(Instant now, const CallAttributes &facts) const
 {
     double quickLoad = 0;
     const double run = toSeconds(this->usualRun(now, facts));
@@ -163,7 +163,7 @@
     return left < 1 ? 1 : static_cast<std::uint32_t>(left);
 }
 
-bool TargetGate::leavesReserve(Instant now, const CallFacts &facts) const
+bool TargetGate::leavesReserve(Instant now, const CallAttributes &facts) const
 {
     if (!this->isLong(now, facts))
         return true;
@@ -183,7 +183,7 @@
     return kind.mean * kind.started * std::exp(-toSeconds(now - kind.fadedAt) / window) / window;
 }
 
-bool TargetGate::mayStartNow(Instant now, const CallFacts &facts) const
+bool TargetGate::mayStartNow(Instant now, const CallAttributes &facts) const
 {
     if (this->freeSlots() == 0 || !this->leavesReserve(now, facts))
         return false;
@@ -196,7 +196,7 @@
 
 // Of the slots' time lately, by kinds that go before the rank. The part that quick kinds take of the slots
 // has been taken off already for a long call.
-double TargetGate::shareAhead(Instant now, const CallFacts &facts, const Rank &rank) const
+double TargetGate::shareAhead(Instant now, const CallAttributes &facts, const Rank &rank) const
 {
     if (rank.starved)
         return 0;
@@ -214,9 +214,9 @@
 }
 
 // Whether all that is in time leaves next to nothing for late calls.
-bool TargetGate::lateIsHopeless(Instant now, const CallFacts &facts) const
+bool TargetGate::lateIsHopeless(Instant now, const CallAttributes &facts) const
 {
-    CallFacts late = facts;
+    CallAttributes late = facts;
     late.target = now - 1h;
     return this->shareAhead(now, late, this->rankOf(now, late, this->nextTicket)) >= hopelessShare;
 }
@@ -236,7 +236,7 @@
 //
 // Load: 16 calls of 160 ms wait and go first, five of six slots are left to calls of 10 ms. Harm of counting
 // the 16 into each wait: four in ten of the quick calls are refused, although those let in wait for 6 ms.
-Duration TargetGate::expectedWait(Instant now, const CallFacts &facts) const
+Duration TargetGate::expectedWait(Instant now, const CallAttributes &facts) const
 {
     if (this->mayStartNow(now, facts))
         return Duration::zero();
--- a/Services/Node/Callers/CallerFrontend.cpp
+++ b/Services/Node/Callers/CallerFrontend.cpp
@@ -191,7 +191,7 @@
         return plan.arrived;
     RefusedCallers &refused = this->context.refusedCallers;
     const std::lock_guard guard(refused.mutex);
-    return refused.returning.recognise(plan.arrived, kind, *plan.givesUp).value_or(plan.arrived);
+    return refused.returning.matchRetry(plan.arrived, kind, *plan.givesUp).value_or(plan.arrived);
 }
 
 Milliseconds callTimeout(std::optional<Milliseconds> asked, Milliseconds routes, Milliseconds maximum)
--- a/Services/Node/Callers/ForwardedCall.cpp
+++ b/Services/Node/Callers/ForwardedCall.cpp
@@ -41,32 +41,32 @@
            || response.reason == reasonPeerLeaving;
 }
 
-PlacedEnd endOf(const CallResponse &response)
+AttemptOutcome endOf(const CallResponse &response)
 {
     switch (response.outcome) {
     case Outcome::Done:
-        return response.status >= 500 ? PlacedEnd::Failed : PlacedEnd::Succeeded;
+        return response.status >= 500 ? AttemptOutcome::Failed : AttemptOutcome::Succeeded;
     case Outcome::NotRun: {
         const bool nothingThere = isOfConnection(response) || response.reason == reasonUnreachable;
         if (response.reason == reasonQuarantined)
-            return PlacedEnd::Cancelled; // Says nothing about the upstream.
-        return nothingThere ? PlacedEnd::Failed : PlacedEnd::RefusedNotRun;
+            return AttemptOutcome::Cancelled; // Says nothing about the upstream.
+        return nothingThere ? AttemptOutcome::Failed : AttemptOutcome::RefusedNotRun;
     }
     case Outcome::Unknown:
         break;
     }
     // A key that another attempt holds says nothing about the upstream.
-    return response.reason == reasonKeyInProgress ? PlacedEnd::RefusedNotRun : PlacedEnd::Unknown;
+    return response.reason == reasonKeyInProgress ? AttemptOutcome::RefusedNotRun : AttemptOutcome::Unknown;
 }
 
-ToldLoad toldBy(const CallResponse &response)
+ReportedLoad toldBy(const CallResponse &response)
 {
-    ToldLoad load;
+    ReportedLoad load;
     load.freeSlots = response.freeSlots;
     load.queued = response.queued;
     load.draining = response.draining;
-    load.run = Microseconds(response.ranMicroseconds);
-    load.wait = Microseconds(response.waitMicroseconds);
+    load.runTime = Microseconds(response.ranMicroseconds);
+    load.expectedWait = Microseconds(response.waitMicroseconds);
     load.answerBytes = response.body.size();
     return load;
 }
@@ -135,7 +135,7 @@
     target.lateAccepted = true;
     {
         const std::lock_guard guard(this->service->mutex);
-        this->service->placer.started(target.candidate.id, SteadyClock::now());
+        this->service->placer.recordStart(target.candidate.id, SteadyClock::now());
     }
     this->sendTo(std::move(target));
     return true;
@@ -158,11 +158,11 @@
     const Instant now = SteadyClock::now();
     const std::lock_guard guard(this->service->mutex);
     if (this->attempts.empty())
-        this->service->retries.firstTry(now);
-    Placer &placer = this->service->placer;
+        this->service->retries.recordFirstAttempt(now);
+    LoadBalancer &placer = this->service->placer;
     const auto place = [&] {
-        return placer.place(now, service->facts, this->plan.callClass, tried, this->request.kind,
-                            this->request.body.size());
+        return placer.pick(now, service->facts, this->plan.callClass, tried, this->request.kind,
+                           this->request.body.size());
     };
     const auto index = place();
     if (!index)
@@ -170,7 +170,7 @@
     tried.push_back(*index);
     // Nobody answers in time what is late already.
     target.lateAccepted = this->isLate(now) || !place().has_value();
-    this->service->placer.started(service->facts[*index].id, now);
+    this->service->placer.recordStart(service->facts[*index].id, now);
     target.candidate = service->candidates[*index];
     target.sameHost = service->facts[*index].sameHost;
     return true;
@@ -252,13 +252,14 @@
 {
     const std::lock_guard guard(this->service->mutex);
     const Duration took = now - attempt.startedAt;
-    this->service->placer.ended(attempt.target.candidate.id, now, this->plan.callClass, took, endOf(response),
-                                this->request.kind);
+    this->service->placer.recordEnd(attempt.target.candidate.id, now, this->plan.callClass, took,
+                                    endOf(response), this->request.kind);
     const bool gateSpoke = !isOfConnection(response) && response.reason != reasonPeerCongested;
     if (gateSpoke)
-        this->service->placer.told(attempt.target.candidate.id, now, toldBy(response), this->request.kind);
+        this->service->placer.recordReportedLoad(attempt.target.candidate.id, now, toldBy(response),
+                                                 this->request.kind);
     if (response.outcome == Outcome::Done && this->plan.hedged)
-        this->service->hedge.observed(took);
+        this->service->hedge.observe(took);
 }
 
 // Load: an upstream fails or refuses. Harm of sending again without limit: the load doubles on what is left;
@@ -268,7 +269,7 @@
     const bool notRun = response.outcome == Outcome::NotRun;
     const CallPhase phase = response.outcome == Outcome::Done ? CallPhase::Answered : CallPhase::MaybeSent;
     const bool runsOnce = !this->request.idempotencyKey.empty();
-    if (!maySendAgain(phase, this->plan.idempotent && !runsOnce, notRun))
+    if (!isRetrySafe(phase, this->plan.idempotent && !runsOnce, notRun))
         return false;
     // Its key is claimed for the refused attempt and not free again yet.
     if (response.claimHeld)
@@ -287,7 +288,7 @@
     bool withinBudget = false;
     {
         const std::lock_guard guard(this->service->mutex);
-        withinBudget = this->service->retries.tryRetry(now);
+        withinBudget = this->service->retries.tryAcquireRetry(now);
     }
     if (withinBudget)
         return this->placeAndSend();
@@ -330,8 +331,8 @@
     if (response.outcome != Outcome::NotRun || !this->plan.givesUp)
         return;
     const std::lock_guard guard(this->context.refusedCallers.mutex);
-    this->context.refusedCallers.returning.refused(SteadyClock::now(), this->request.kind,
-                                                   *this->plan.givesUp, this->plan.firstCame);
+    this->context.refusedCallers.returning.recordRefusal(SteadyClock::now(), this->request.kind,
+                                                         *this->plan.givesUp, this->plan.firstCame);
 }
 
 CallSummary ForwardedCall::summary() const
@@ -392,9 +393,9 @@
         {
             const std::lock_guard guard(this->service->mutex);
             const Instant now = SteadyClock::now();
-            this->service->placer.ended(
+            this->service->placer.recordEnd(
                 attempt.target.candidate.id, now, this->plan.callClass, now - attempt.startedAt,
-                now >= this->plan.deadline ? PlacedEnd::Unknown : PlacedEnd::Cancelled);
+                now >= this->plan.deadline ? AttemptOutcome::Unknown : AttemptOutcome::Cancelled);
         }
         if (attempt.local)
             this->context.gate.cancel(attempt.local);
@@ -440,7 +441,7 @@
         bool allowed = false;
         {
             const std::lock_guard guard(self->service->mutex);
-            allowed = self->service->retries.tryRetry(SteadyClock::now());
+            allowed = self->service->retries.tryAcquireRetry(SteadyClock::now());
         }
         if (allowed)
             self->placeAndSend();
--- a/Services/Node/Callers/ForwardedCall.h
+++ b/Services/Node/Callers/ForwardedCall.h
@@ -43,7 +43,7 @@
 struct RefusedCallers
 {
     std::mutex mutex;
-    ReturningCallers returning;
+    RetryMatcher returning;
 };
 
 // Shared by all calls of a node.
--- a/Services/Node/Callers/ServiceState.h
+++ b/Services/Node/Callers/ServiceState.h
@@ -13,7 +13,7 @@
 struct ServiceState
 {
     // `retryReserve`: a service that is hardly called may still retry this often in ten seconds.
-    ServiceState(PlacerSettings placing, double retryShare, double retryReserve,
+    ServiceState(LoadBalancerSettings placing, double retryShare, double retryReserve,
                  std::function<std::uint64_t()> random)
         : placer(placing, std::move(random))
         , retries(retryShare, retryReserve)
@@ -21,7 +21,7 @@
     }
 
     std::mutex mutex; // Held for one decision at a time.
-    Placer placer;
+    LoadBalancer placer;
     RetryBudget retries;
     HedgeDelay hedge;
 };
--- a/Services/Node/Callers/UpstreamView.cpp
+++ b/Services/Node/Callers/UpstreamView.cpp
@@ -49,7 +49,7 @@
 {
     for (const auto &[cluster, state] : this->states) {
         const std::lock_guard guard(state->mutex);
-        state->placer.forget(before);
+        state->placer.evictUnused(before);
     }
 }
 
--- a/Services/Node/Callers/UpstreamView.h
+++ b/Services/Node/Callers/UpstreamView.h
@@ -24,7 +24,7 @@
 {
     std::shared_ptr<ServiceState> state;
     std::vector<Candidate> candidates;
-    std::vector<UpstreamFacts> facts; // In the candidates' order; ids point into them.
+    std::vector<UpstreamCandidate> facts; // In the candidates' order; ids point into them.
 };
 
 class UpstreamView
--- a/Services/Node/Gate/GateCall.h
+++ b/Services/Node/Gate/GateCall.h
@@ -39,9 +39,9 @@
     // A keyed call runs at most once even when it calls itself idempotent, so it is not cut off either.
     bool mayBeCutOff() const { return this->request.idempotent && !this->keyed(); }
 
-    CallFacts facts() const
+    CallAttributes facts() const
     {
-        CallFacts facts;
+        CallAttributes facts;
         facts.callClass = this->request.callClass;
         facts.deadline = this->deadline;
         facts.kind = this->request.kind;
@@ -53,9 +53,9 @@
     }
 
     // Of a call like this one that arrives at `now`.
-    CallFacts factsAnew(Instant now) const
+    CallAttributes factsAnew(Instant now) const
     {
-        CallFacts facts = this->facts();
+        CallAttributes facts = this->facts();
         facts.deadline += now - this->arrived;
         if (facts.target)
             *facts.target += now - this->arrived;
--- a/Services/Node/Gate/LocalGate.cpp
+++ b/Services/Node/Gate/LocalGate.cpp
@@ -68,7 +68,7 @@
 bool LocalGate::refuseAhead(GateHome home, CallRequest request, Duration bodyTakes, AnswerHook answer)
 {
     const auto call = std::make_shared<GateCall>(home, std::move(request), std::move(answer), this->observer);
-    CallFacts facts = call->facts();
+    CallAttributes facts = call->facts();
     facts.deadline -= bodyTakes;
     if (facts.target)
         *facts.target -= bodyTakes;
@@ -96,7 +96,7 @@
     this->refuse(call, reason, retryAfter);
 }
 
-std::optional<GateDecision> LocalGate::refusalOf(const CallFacts &facts)
+std::optional<GateDecision> LocalGate::refusalOf(const CallAttributes &facts)
 {
     std::vector<GateAction> actions;
     std::optional<GateDecision> refusal;
@@ -108,7 +108,7 @@
         // Failure: offer() learns from the call before it decides and takes one that wouldAdmit() denied.
         // Symptom: nobody ends that ticket, and its slot is lost for good.
         if (refusal && refusal->verdict == GateVerdict::Start)
-            this->gate.finish(now, refusal->ticket, CallEnd::Cancelled, actions);
+            this->gate.finish(now, refusal->ticket, CallOutcome::Cancelled, actions);
         if (refusal && refusal->verdict == GateVerdict::Queue)
             this->gate.cancel(now, refusal->ticket, actions);
         if (refusal && refusal->verdict != GateVerdict::Refuse)
@@ -268,7 +268,7 @@
     closeStep(*call);
     const bool late = call->started >= call->deadline;
     if (late || call->cancelled) {
-        this->freeSlot(call, CallEnd::Cancelled);
+        this->freeSlot(call, CallOutcome::Cancelled);
         const RefusalReason reason = RefusalReason::DeadlinePassed;
         return this->refuse(call, late ? refusalReasonNames.name(reason) : reasonCancelled,
                             unreachableRetryAfter);
@@ -290,7 +290,7 @@
                                });
 }
 
-void LocalGate::freeSlot(const std::shared_ptr<GateCall> &call, CallEnd end)
+void LocalGate::freeSlot(const std::shared_ptr<GateCall> &call, CallOutcome end)
 {
     closeStep(*call);
     std::vector<GateAction> actions;
--- a/Services/Node/Gate/LocalGate.h
+++ b/Services/Node/Gate/LocalGate.h
@@ -79,7 +79,7 @@
 
 private:
     bool serves(const std::string &cluster) const;
-    std::optional<GateDecision> refusalOf(const CallFacts &facts);
+    std::optional<GateDecision> refusalOf(const CallAttributes &facts);
     void claimKey(const std::shared_ptr<GateCall> &call);
     void afterClaim(const std::shared_ptr<GateCall> &call, const ClaimAnswer &answer);
     void replay(const std::shared_ptr<GateCall> &call, const RecordedOutcome &outcome);
@@ -100,7 +100,7 @@
     void checkUpstream(GateHome home, const std::string &address);
     void lookAgain(GateHome home, const std::string &address, Instant begun);
     void upstreamChecked(GateHome home, const std::string &address, Instant begun, Reachability found);
-    void freeSlot(const std::shared_ptr<GateCall> &call, CallEnd end);
+    void freeSlot(const std::shared_ptr<GateCall> &call, CallOutcome end);
     void refuse(const std::shared_ptr<GateCall> &call, std::string_view reason, Duration retryAfter);
     void tellRefusal(const GateCall &call, std::string_view reason, Duration retryAfter) const;
     void answer(const std::shared_ptr<GateCall> &call, CallResponse response);
@@ -119,7 +119,7 @@
     mutable std::mutex mutex; // Guards what follows; never held over input or output.
     const AdmissionHooks gate;
     UpstreamAnnouncement current;
-    CrashWitness witness;
+    CrashDetector witness;
     bool upstreamCheckUnderWay = false;                            // After a broken connection.
     std::unordered_map<Ticket, std::shared_ptr<GateCall>> waiting; // Exactly the queued tickets.
 
--- a/Services/Node/Gate/LocalGateUpstream.cpp
+++ b/Services/Node/Gate/LocalGateUpstream.cpp
@@ -92,7 +92,7 @@
 void LocalGate::upstreamRefused(const std::shared_ptr<GateCall> &call, const HttpResponse &response)
 {
     this->observer.upstreamShed(call->request.callerCallId, call->request.cluster, response.status);
-    this->freeSlot(call, CallEnd::Shed);
+    this->freeSlot(call, CallOutcome::Shed);
     if (response.status != statusMisdirected)
         return this->refuse(call, reasonShed, retryAfterOf(response));
     // Another upstream stands at this address: nothing more goes there until one announces itself.
@@ -109,7 +109,7 @@
     if (this->provesNotRun(response))
         return this->upstreamRefused(call, response);
     if (!this->isOwnAnswer(response)) {
-        this->freeSlot(call, CallEnd::Failed);
+        this->freeSlot(call, CallOutcome::Failed);
         if (call->claimed)
             this->claims.leaveUnknown(call->claimName, call->request.attempt);
         return this->answerUnknown(call, reasonSpoilt, statusBadGateway, unreachableRetryAfter);
@@ -117,12 +117,12 @@
     // Failure: an upstream says "unavailable" without saying that it did not run the call. Symptom: passed
     // on, the status would promise the caller that it may come again, and a booking would run twice.
     if (!this->names.proof.empty() && saysNotRun(response.status)) {
-        this->freeSlot(call, CallEnd::Failed);
+        this->freeSlot(call, CallOutcome::Failed);
         return this->answerUnknown(call, reasonNoProof, statusBadGateway, unreachableRetryAfter);
     }
     this->noteAnswer(*call);
     this->observer.upstreamTook(SteadyClock::now() - call->started);
-    this->freeSlot(call, response.status >= 500 ? CallEnd::Failed : CallEnd::Succeeded);
+    this->freeSlot(call, response.status >= 500 ? CallOutcome::Failed : CallOutcome::Succeeded);
     if (call->claimed) {
         RecordedOutcome recorded;
         recorded.status = response.status;
@@ -144,7 +144,7 @@
 void LocalGate::upstreamFailed(const std::shared_ptr<GateCall> &call, const HttpFailure &failure)
 {
     this->noteFailure(*call, failure);
-    this->freeSlot(call, call->cancelled ? CallEnd::Cancelled : CallEnd::Failed);
+    this->freeSlot(call, call->cancelled ? CallOutcome::Cancelled : CallOutcome::Failed);
     if (!failure.mayHaveBeenSent) {
         call->sent = false;
         return this->refuse(call, reasonUnreachable, unreachableRetryAfter);
@@ -160,7 +160,7 @@
 {
     {
         const std::lock_guard guard(this->mutex);
-        this->witness.answered(call.started);
+        this->witness.recordAnswer(call.started);
     }
     if (this->quarantine.answered)
         this->quarantine.answered(call.request);
@@ -176,11 +176,11 @@
     {
         const std::lock_guard guard(this->mutex);
         // What could not be sent did not run; where others broke off, it is a reason to look.
-        if (!failure.mayHaveBeenSent && !this->witness.awaitsMore())
+        if (!failure.mayHaveBeenSent && !this->witness.hasUnexplainedBreaks())
             return;
         if (failure.mayHaveBeenSent) {
             for (const RequestFingerprint request : fingerprintsOf(call.request))
-                this->witness.connectionBroke(now, request);
+                this->witness.recordBrokenConnection(now, request);
         }
     }
     this->checkUpstream(call.home, call.upstreamAddress);
@@ -224,8 +224,8 @@
         const std::lock_guard guard(this->mutex);
         this->upstreamCheckUnderWay = false;
         if (found == Reachability::Reachable) {
-            this->witness.answered(begun);
-            more = this->witness.awaitsMore();
+            this->witness.recordAnswer(begun);
+            more = this->witness.hasUnexplainedBreaks();
         }
     }
     if (found == Reachability::Refused)
@@ -239,7 +239,7 @@
     std::vector<RequestFingerprint> requests;
     {
         const std::lock_guard guard(this->mutex);
-        requests = this->witness.upstreamEnded(SteadyClock::now());
+        requests = this->witness.recordUpstreamExit(SteadyClock::now());
     }
     if (!requests.empty() && this->quarantine.crashed)
         this->quarantine.crashed(requests);
--- a/Services/Node/Gate/RequestQuarantine.cpp
+++ b/Services/Node/Gate/RequestQuarantine.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr auto noticeLife =
-    static_cast<std::uint16_t>(std::chrono::duration_cast<std::chrono::seconds>(crashReportLife).count());
+    static_cast<std::uint16_t>(std::chrono::duration_cast<std::chrono::seconds>(crashReportLifetime).count());
 
 constexpr std::uint64_t millisecondsPerSecond = 1000;
 
@@ -77,7 +77,7 @@
     {
         const std::lock_guard guard(this->mutex);
         for (const RequestFingerprint fingerprint : fingerprints)
-            this->recentAnswers.note(SteadyClock::now(), fingerprint);
+            this->recentAnswers.record(SteadyClock::now(), fingerprint);
     }
     const RcuPointer<View>::Reader view(this->view);
     if (!view)
@@ -118,7 +118,7 @@
 
 void RequestQuarantine::logChanges(const CrashQuarantine &next)
 {
-    std::vector<RequestFingerprint> refused = next.refused();
+    std::vector<RequestFingerprint> refused = next.refusedRequests();
     std::ranges::sort(refused);
     for (const RequestFingerprint request : refused) {
         if (!std::ranges::binary_search(this->refusedBefore, request))
--- a/Services/Node/NodeParts.cpp
+++ b/Services/Node/NodeParts.cpp
@@ -99,14 +99,14 @@
 {
     const std::uint64_t seed = std::hash<std::string>{}(settings.id);
     if (settings.requests.admission == AdmissionRule::Targets)
-        return admissionHooksOf(std::make_shared<TargetGate>(TargetGateSettings{1, startQueue, seed}));
-    return admissionHooksOf(std::make_shared<Gate>(GateSettings{1, startQueue, seed}));
+        return makeAdmissionHooks(std::make_shared<TargetGate>(TargetGateSettings{1, startQueue, seed}));
+    return makeAdmissionHooks(std::make_shared<Gate>(GateSettings{1, startQueue, seed}));
 }
 
-PlacerSettings placerSettings(const NodeSettings::Requests &requests)
+LoadBalancerSettings placerSettings(const NodeSettings::Requests &requests)
 {
-    PlacerSettings placing;
-    placing.otherZoneKilobyteCost = requests.zoneKilobyte;
+    LoadBalancerSettings placing;
+    placing.crossZoneCostPerKilobyte = requests.zoneKilobyte;
     if (requests.zoneKilobyte > Milliseconds(0))
         placing.choices = choicesInZone;
     return placing;
--- a/Services/Node/NodeParts.h
+++ b/Services/Node/NodeParts.h
@@ -14,7 +14,7 @@
 
 EventLogSettings logSettings(const NodeSettings &settings);
 ControlSettings controlSettings(const NodeSettings &settings);
-PlacerSettings placerSettings(const NodeSettings::Requests &requests);
+LoadBalancerSettings placerSettings(const NodeSettings::Requests &requests);
 BodyGrantSettings bodyGrantSettings(const NodeSettings &settings);
 
 // The rule of the gate beside the upstream; its jitter differs from node to node.
--- a/Services/Node/Peers/BodyLine.cpp
+++ b/Services/Node/Peers/BodyLine.cpp
@@ -11,13 +11,13 @@
     return ++this->lastName;
 }
 
-BodyAnswer BodyLine::ask(boost::asio::io_context &context, Name name, std::uint64_t bytes,
-                         std::uint32_t priority, TurnHook turn)
+BodyGrantResult BodyLine::ask(boost::asio::io_context &context, Name name, std::uint64_t bytes,
+                              std::uint32_t priority, TurnHook turn)
 {
     const std::lock_guard guard(this->mutex);
     this->tellTurns();
-    const BodyAnswer answer = this->grants.ask(SteadyClock::now(), name, bytes, priority);
-    if (answer == BodyAnswer::Waits)
+    const BodyGrantResult answer = this->grants.request(SteadyClock::now(), name, bytes, priority);
+    if (answer == BodyGrantResult::Queued)
         this->waiting.emplace(name, Waiting{&context, std::move(turn)});
     return answer;
 }
@@ -25,7 +25,7 @@
 void BodyLine::end(Name name)
 {
     const std::lock_guard guard(this->mutex);
-    this->grants.end(name);
+    this->grants.release(name);
     this->waiting.erase(name);
     this->tellTurns();
 }
@@ -39,7 +39,7 @@
 Duration BodyLine::expected(std::uint64_t bytes, std::uint32_t priority) const
 {
     const std::lock_guard guard(this->mutex);
-    return this->grants.expected(bytes, priority);
+    return this->grants.expectedDelay(bytes, priority);
 }
 
 std::optional<Instant> BodyLine::nextExpiry() const
--- a/Services/Node/Peers/BodyLine.h
+++ b/Services/Node/Peers/BodyLine.h
@@ -15,7 +15,7 @@
 class BodyLine
 {
 public:
-    using Name = BodyGrants::Name;
+    using Name = BodyGrants::BodyId;
     using TurnHook = std::function<void()>;
 
     explicit BodyLine(BodyGrantSettings settings)
@@ -26,12 +26,12 @@
     // From any thread.
     bool isLimited() const { return this->grants.isLimited(); }
     Name nextName();
-    // With Waits the hook is called once, on the context, when the body is granted; not after end().
-    BodyAnswer ask(boost::asio::io_context &context, Name name, std::uint64_t bytes, std::uint32_t priority,
-                   TurnHook turn);
+    // With Queued the hook is called once, on the context, when the body is granted; not after end().
+    BodyGrantResult ask(boost::asio::io_context &context, Name name, std::uint64_t bytes,
+                        std::uint32_t priority, TurnHook turn);
     void end(Name name);
     void advance();
-    Duration carries(std::uint64_t bytes) const { return this->grants.carries(bytes); }
+    Duration carries(std::uint64_t bytes) const { return this->grants.transferTime(bytes); }
     Duration expected(std::uint64_t bytes, std::uint32_t priority) const;
     std::optional<Instant> nextExpiry() const;
 
--- a/Services/Node/Peers/PeerServer.cpp
+++ b/Services/Node/Peers/PeerServer.cpp
@@ -237,7 +237,7 @@
         const std::uint32_t priority = call->head.call.priority;
         if (this->refuseAhead(*call, bodies.expected(call->head.bodyBytes, priority)))
             return;
-        const BodyAnswer answer =
+        const BodyGrantResult answer =
             bodies.ask(this->server->home.context, call->name, call->head.bodyBytes, priority,
                        [session = this->weak_from_this(), waiting = std::weak_ptr<CallAhead>(call)] {
                            const auto self = session.lock();
@@ -246,11 +246,11 @@
                                self->takeTurn(*turn);
                        });
         switch (answer) {
-        case BodyAnswer::Granted:
+        case BodyGrantResult::Granted:
             return this->grant(*call);
-        case BodyAnswer::Waits:
+        case BodyGrantResult::Queued:
             return this->watch(call);
-        case BodyAnswer::LineFull:
+        case BodyGrantResult::QueueFull:
             return this->refuseUnsent(*call, reasonPeerCongested);
         }
     }
--- a/Tests/LibDecide/TargetLoad.h
+++ b/Tests/LibDecide/TargetLoad.h
@@ -133,7 +133,7 @@
     void offer(const LoadKind &kind, std::size_t index, const std::vector<LoadKind> &kinds, Instant firstCame)
     {
         const bool returned = firstCame != this->now;
-        CallFacts facts;
+        CallAttributes facts;
         facts.kind = index + 1;
         facts.priority = kind.priority;
         facts.target = (this->returns == Return::Recognised ? firstCame : this->now) + kind.target;
@@ -186,7 +186,7 @@
         LoadOutcome &outcome = this->outcomes[kinds[call.kind].name];
         ++(this->now <= call.target ? outcome.inTime : outcome.late);
         std::vector<GateAction> actions;
-        this->gate.finish(this->now, ticket, CallEnd::Succeeded, actions);
+        this->gate.finish(this->now, ticket, CallOutcome::Succeeded, actions);
         this->perform(actions, kinds);
     }
 
--- a/Tests/LibDecide/TestBodyGrants.cpp
+++ b/Tests/LibDecide/TestBodyGrants.cpp
@@ -13,15 +13,15 @@
 namespace {
 
 // A link of 1000 bytes a second carries 300 ahead.
-BodyGrants smallLink(std::size_t mostWaiting = 256)
+BodyGrants smallLink(std::size_t maximumQueued = 256)
 {
     BodyGrantSettings settings;
     settings.bytesPerSecond = 1000;
-    settings.mostWaiting = mostWaiting;
+    settings.maximumQueued = maximumQueued;
     return BodyGrants(settings);
 }
 
-using Names = std::vector<BodyGrants::Name>;
+using Names = std::vector<BodyGrants::BodyId>;
 
 struct OrderRow
 {
@@ -41,20 +41,26 @@
     const char *what;
     double bytesPerSecond;
     std::vector<std::uint64_t> bytes;
-    std::vector<BodyAnswer> answers;
+    std::vector<BodyGrantResult> answers;
 };
 
 const FitRow fitRows[] = {
-    {"a link that is not told grants all", 0, {1 << 20, 1 << 20}, {BodyAnswer::Granted, BodyAnswer::Granted}},
+    {"a link that is not told grants all",
+     0,
+     {1 << 20, 1 << 20},
+     {BodyGrantResult::Granted, BodyGrantResult::Granted}},
     {"up to what the link carries ahead",
      1000,
      {100, 200, 1},
-     {BodyAnswer::Granted, BodyAnswer::Granted, BodyAnswer::Waits}},
-    {"one alone may be larger than that", 1000, {5000, 1}, {BodyAnswer::Granted, BodyAnswer::Waits}},
+     {BodyGrantResult::Granted, BodyGrantResult::Granted, BodyGrantResult::Queued}},
+    {"one alone may be larger than that",
+     1000,
+     {5000, 1},
+     {BodyGrantResult::Granted, BodyGrantResult::Queued}},
     {"a small one does not overtake",
      1000,
      {250, 100, 10},
-     {BodyAnswer::Granted, BodyAnswer::Waits, BodyAnswer::Waits}},
+     {BodyGrantResult::Granted, BodyGrantResult::Queued, BodyGrantResult::Queued}},
 };
 
 const std::uint64_t seeds[] = {1, 2, 3, 4, 5, 6, 7, 8};
@@ -67,7 +73,7 @@
     settings.bytesPerSecond = row.bytesPerSecond;
     BodyGrants grants(settings);
     for (std::size_t index = 0; index < row.bytes.size(); ++index)
-        cr_assert(grants.ask(Instant{}, index + 1, row.bytes[index], 1) == row.answers[index], "%s",
+        cr_assert(grants.request(Instant{}, index + 1, row.bytes[index], 1) == row.answers[index], "%s",
                   row.what);
 }
 
@@ -75,15 +81,15 @@
 {
     BodyGrants grants = smallLink();
     const Instant now{};
-    cr_assert(grants.ask(now, 100, 300, 1) == BodyAnswer::Granted);
-    BodyGrants::Name name = 0;
+    cr_assert(grants.request(now, 100, 300, 1) == BodyGrantResult::Granted);
+    BodyGrants::BodyId name = 0;
     for (const std::uint32_t priority : row.priorities)
-        cr_assert(grants.ask(now, ++name, 300, priority) == BodyAnswer::Waits);
+        cr_assert(grants.request(now, ++name, 300, priority) == BodyGrantResult::Queued);
     Names turns;
-    BodyGrants::Name under = 100;
-    while (grants.waiting() > 0) {
+    BodyGrants::BodyId under = 100;
+    while (grants.queued() > 0) {
         cr_assert(grants.advance(now).empty());
-        grants.end(under);
+        grants.release(under);
         const Names next = grants.advance(now);
         cr_assert(next.size() == 1, "%s", row.what);
         under = next[0];
@@ -98,13 +104,13 @@
 {
     BodyGrants grants = smallLink();
     const Instant now{};
-    cr_assert(grants.ask(now, 1, 300, 1) == BodyAnswer::Granted);
-    cr_assert(grants.ask(now, 2, 300, 1) == BodyAnswer::Waits);
+    cr_assert(grants.request(now, 1, 300, 1) == BodyGrantResult::Granted);
+    cr_assert(grants.request(now, 2, 300, 1) == BodyGrantResult::Queued);
     const Instant expiry = grants.nextExpiry().value();
     cr_assert(grants.advance(expiry - 1ms).empty());
     cr_assert(grants.advance(expiry) == Names{2});
-    grants.end(1);
-    cr_assert(grants.ask(expiry, 3, 1, 1) == BodyAnswer::Waits);
+    grants.release(1);
+    cr_assert(grants.request(expiry, 3, 1, 1) == BodyGrantResult::Queued);
 }
 
 // A caller gives up while its body waits: its turn goes to the next.
@@ -112,13 +118,13 @@
 {
     BodyGrants grants = smallLink();
     const Instant now{};
-    cr_assert(grants.ask(now, 1, 300, 1) == BodyAnswer::Granted);
-    cr_assert(grants.ask(now, 2, 300, 1) == BodyAnswer::Waits);
-    cr_assert(grants.ask(now, 3, 300, 1) == BodyAnswer::Waits);
-    cr_assert(grants.expected(300, 1) == 1200ms);
-    cr_assert(grants.expected(300, 0) == 600ms);
-    grants.end(2);
-    grants.end(1);
+    cr_assert(grants.request(now, 1, 300, 1) == BodyGrantResult::Granted);
+    cr_assert(grants.request(now, 2, 300, 1) == BodyGrantResult::Queued);
+    cr_assert(grants.request(now, 3, 300, 1) == BodyGrantResult::Queued);
+    cr_assert(grants.expectedDelay(300, 1) == 1200ms);
+    cr_assert(grants.expectedDelay(300, 0) == 600ms);
+    grants.release(2);
+    grants.release(1);
     cr_assert(grants.advance(now) == Names{3});
 }
 
@@ -127,11 +133,11 @@
 {
     BodyGrants grants = smallLink(2);
     const Instant now{};
-    cr_assert(grants.ask(now, 1, 300, 1) == BodyAnswer::Granted);
-    cr_assert(grants.ask(now, 2, 300, 1) == BodyAnswer::Waits);
-    cr_assert(grants.ask(now, 3, 300, 1) == BodyAnswer::Waits);
-    cr_assert(grants.ask(now, 4, 300, 0) == BodyAnswer::LineFull);
-    cr_assert(grants.waiting() == 2);
+    cr_assert(grants.request(now, 1, 300, 1) == BodyGrantResult::Granted);
+    cr_assert(grants.request(now, 2, 300, 1) == BodyGrantResult::Queued);
+    cr_assert(grants.request(now, 3, 300, 1) == BodyGrantResult::Queued);
+    cr_assert(grants.request(now, 4, 300, 0) == BodyGrantResult::QueueFull);
+    cr_assert(grants.queued() == 2);
 }
 
 // Whatever is asked, ended and let expire: never more under way than the link carries ahead unless it is one
@@ -142,40 +148,40 @@
     BodyGrants grants = smallLink(16);
     Instant now{};
     std::vector<std::uint64_t> bytes(1, 0);
-    std::set<BodyGrants::Name> granted;
-    std::set<BodyGrants::Name> waiting;
-    std::set<BodyGrants::Name> everGranted;
-    const auto note = [&](BodyGrants::Name name) {
+    std::set<BodyGrants::BodyId> granted;
+    std::set<BodyGrants::BodyId> waiting;
+    std::set<BodyGrants::BodyId> everGranted;
+    const auto note = [&](BodyGrants::BodyId name) {
         waiting.erase(name);
         granted.insert(name);
         cr_assert(everGranted.insert(name).second);
     };
     for (int step = 0; step < 5000; ++step) {
         now += std::chrono::milliseconds(random() % 20);
-        const BodyGrants::Name name = bytes.size();
+        const BodyGrants::BodyId name = bytes.size();
         bytes.push_back(1 + random() % 400);
-        const BodyAnswer answer = grants.ask(now, name, bytes[name], random() % 3);
-        if (answer == BodyAnswer::Granted)
+        const BodyGrantResult answer = grants.request(now, name, bytes[name], random() % 3);
+        if (answer == BodyGrantResult::Granted)
             note(name);
-        if (answer == BodyAnswer::Waits)
+        if (answer == BodyGrantResult::Queued)
             waiting.insert(name);
-        const BodyGrants::Name ended = 1 + random() % name;
-        grants.end(ended);
+        const BodyGrants::BodyId ended = 1 + random() % name;
+        grants.release(ended);
         granted.erase(ended);
         waiting.erase(ended);
         const bool mayExpire = grants.nextExpiry().value_or(Instant::max()) <= now;
-        for (const BodyGrants::Name turn : grants.advance(now))
+        for (const BodyGrants::BodyId turn : grants.advance(now))
             note(turn);
-        cr_assert(grants.waiting() == waiting.size());
+        cr_assert(grants.queued() == waiting.size());
         if (mayExpire) {
-            for (const BodyGrants::Name known : granted)
-                grants.end(known);
+            for (const BodyGrants::BodyId known : granted)
+                grants.release(known);
             granted.clear();
-            for (const BodyGrants::Name turn : grants.advance(now))
+            for (const BodyGrants::BodyId turn : grants.advance(now))
                 note(turn);
         }
         std::uint64_t under = 0;
-        for (const BodyGrants::Name known : granted)
+        for (const BodyGrants::BodyId known : granted)
             under += bytes[known];
         cr_assert(under <= 300 || granted.size() == 1);
         cr_assert(waiting.empty() || !granted.empty());
--- a/Tests/LibDecide/TestCrashQuarantine.cpp
+++ b/Tests/LibDecide/TestCrashQuarantine.cpp
@@ -73,7 +73,7 @@
     const CrashQuarantine quarantine(reports);
     cr_assert(quarantine.refusedUntil(request, start).has_value() == row.refused, "%s", row.what);
     cr_assert(!quarantine.refusedUntil(8, start));
-    cr_assert(quarantine.refused().size() == (row.refused ? 1 : 0));
+    cr_assert(quarantine.refusedRequests().size() == (row.refused ? 1 : 0));
 }
 
 // The refusal ends when too few of the crashes are still held against the request.
@@ -91,16 +91,16 @@
 // A lost answer or a reset connection must not pass for a crash.
 TABLE_TEST(crashWitness, tellsACrashFromABrokenConnection, witnessRows)
 {
-    CrashWitness witness;
+    CrashDetector witness;
     std::size_t reported = 0;
     RequestFingerprint request = 0;
     for (const auto &[step, at] : row.steps) {
         if (step == Step::Break)
-            witness.connectionBroke(start + at, ++request);
+            witness.recordBrokenConnection(start + at, ++request);
         if (step == Step::Answer)
-            witness.answered(start + at);
+            witness.recordAnswer(start + at);
         if (step == Step::End)
-            reported = witness.upstreamEnded(start + at).size();
+            reported = witness.recordUpstreamExit(start + at).size();
     }
     cr_assert(reported == row.reported, "%s", row.what);
 }
--- a/Tests/LibDecide/TestGate.cpp
+++ b/Tests/LibDecide/TestGate.cpp
@@ -15,9 +15,9 @@
 
 constexpr Instant begin{};
 
-CallFacts call(CallClass callClass, Duration patience, Instant now = begin)
+CallAttributes call(CallClass callClass, Duration patience, Instant now = begin)
 {
-    return CallFacts{callClass, now + patience};
+    return CallAttributes{callClass, now + patience};
 }
 
 Gate readyGate(std::uint32_t slots, std::uint32_t maximumQueue = 64)
@@ -36,7 +36,7 @@
         Actions actions;
         const GateDecision decision = gate.offer(now, call(callClass, 1h, now), actions);
         now += runTime;
-        gate.finish(now, decision.ticket, CallEnd::Succeeded, actions);
+        gate.finish(now, decision.ticket, CallOutcome::Succeeded, actions);
     }
     return now;
 }
@@ -88,7 +88,7 @@
     const GateDecision urgent = gate.offer(begin, call(row.first, 1s), actions);
     cr_assert(later.verdict == GateVerdict::Queue);
     cr_assert(urgent.verdict == GateVerdict::Queue);
-    gate.finish(begin + 1ms, running.ticket, CallEnd::Succeeded, actions);
+    gate.finish(begin + 1ms, running.ticket, CallOutcome::Succeeded, actions);
     cr_assert_eq(actions.size(), 1U);
     cr_assert(actions[0].start);
     cr_assert_eq(actions[0].ticket, urgent.ticket);
@@ -108,7 +108,7 @@
         const GateDecision second = gate.offer(now, call(CallClass::Interactive, 100ms, now), actions);
         for (const GateDecision &decision : {first, second}) {
             if (decision.verdict == GateVerdict::Start)
-                gate.finish(now + 4ms, decision.ticket, CallEnd::Succeeded, actions);
+                gate.finish(now + 4ms, decision.ticket, CallOutcome::Succeeded, actions);
         }
         admitted += second.verdict == GateVerdict::Start ? 1 : 0;
         cr_assert(first.verdict == GateVerdict::Start);
@@ -150,7 +150,7 @@
         const GateDecision next = gate.offer(now, call(CallClass::Interactive, 1s, now), actions);
         now += 5ms;
         actions.clear();
-        gate.finish(now, running.ticket, CallEnd::Succeeded, actions);
+        gate.finish(now, running.ticket, CallOutcome::Succeeded, actions);
         cr_assert_eq(actions.size(), 1U);
         if (actions[0].ticket == invoice.ticket)
             return;
@@ -183,7 +183,7 @@
     Gate gate = readyGate(6);
     Actions actions;
     const GateDecision other = gate.offer(begin, call(CallClass::Interactive, 1s), actions);
-    gate.finish(begin + 1ms, other.ticket, CallEnd::Succeeded, actions);
+    gate.finish(begin + 1ms, other.ticket, CallOutcome::Succeeded, actions);
     std::uint32_t started = 0;
     for (int index = 0; index < 6; ++index) {
         const GateDecision decision = gate.offer(begin + 2ms, call(CallClass::Batch, 1min), actions);
@@ -205,10 +205,10 @@
     cr_assert_eq(actions.size(), 1U);
     cr_assert_eq(actions[0].ticket, waiting.ticket);
     cr_assert(actions[0].reason == RefusalReason::Draining);
-    cr_assert(!gate.idle());
-    gate.finish(begin + 2ms, running.ticket, CallEnd::Succeeded, actions);
+    cr_assert(!gate.isIdle());
+    gate.finish(begin + 2ms, running.ticket, CallOutcome::Succeeded, actions);
     cr_assert_eq(actions.size(), 1U);
-    cr_assert(gate.idle());
+    cr_assert(gate.isIdle());
 }
 
 // The upstream hangs on the call before. The waiting caller's time runs out; it hears so when the gate is
@@ -225,7 +225,7 @@
     cr_assert_eq(actions[0].ticket, waiting.ticket);
     cr_assert(actions[0].reason == RefusalReason::DeadlinePassed);
     actions.clear();
-    gate.finish(begin + 60ms, running.ticket, CallEnd::Succeeded, actions);
+    gate.finish(begin + 60ms, running.ticket, CallOutcome::Succeeded, actions);
     cr_assert(actions.empty());
 }
 
@@ -248,7 +248,8 @@
         }
         now += 10ms;
         for (std::size_t index = 0; index < tickets.size(); ++index)
-            gate.finish(now, tickets[index], index < bears ? CallEnd::Succeeded : CallEnd::Shed, actions);
+            gate.finish(now, tickets[index], index < bears ? CallOutcome::Succeeded : CallOutcome::Shed,
+                        actions);
         shed += tickets.size() - std::min<std::size_t>(tickets.size(), bears);
         return tickets.size();
     };
--- a/Tests/LibDecide/TestGateInvariants.cpp
+++ b/Tests/LibDecide/TestGateInvariants.cpp
@@ -53,7 +53,7 @@
         case 6:
         case 7:
         case 8:
-            return this->finishOne(static_cast<CallEnd>(this->random() % 4));
+            return this->finishOne(static_cast<CallOutcome>(this->random() % 4));
         default:
             return this->offer();
         }
@@ -63,19 +63,19 @@
     void drain()
     {
         while (this->gate.running() > 0)
-            this->finishOne(CallEnd::Succeeded);
+            this->finishOne(CallOutcome::Succeeded);
         this->now += 1h;
         this->advance();
         for (const auto &[ticket, stage] : this->stages)
             cr_assert(stage == Stage::Ended, "ticket %lu never ended", ticket);
-        cr_assert(this->gate.idle());
+        cr_assert(this->gate.isIdle());
     }
 
 private:
     void offer()
     {
-        const CallFacts facts{static_cast<CallClass>(this->random() % 3),
-                              this->now + Microseconds(this->random() % 50'000)};
+        const CallAttributes facts{static_cast<CallClass>(this->random() % 3),
+                                   this->now + Microseconds(this->random() % 50'000)};
         const bool wouldAdmit = this->gate.wouldAdmit(this->now, facts);
         std::vector<GateAction> actions;
         const GateDecision decision = this->gate.offer(this->now, facts, actions);
@@ -93,7 +93,7 @@
         this->check(actions);
     }
 
-    void finishOne(CallEnd end)
+    void finishOne(CallOutcome end)
     {
         const Ticket ticket = this->pick(Stage::Running);
         if (ticket == 0)
--- a/Tests/LibDecide/TestLoadBalancer.cpp
+++ b/Tests/LibDecide/TestLoadBalancer.cpp
@@ -21,17 +21,17 @@
     return [numbers = std::mt19937_64(seed)]() mutable { return numbers(); };
 }
 
-UpstreamFacts upstream(std::string_view id, bool sameZone,
-                       UpstreamCondition condition = UpstreamCondition::Ready)
+UpstreamCandidate upstream(std::string_view id, bool sameZone,
+                           UpstreamCondition condition = UpstreamCondition::Ready)
 {
-    return UpstreamFacts{id, sameZone, false, condition, 6};
+    return UpstreamCandidate{id, sameZone, false, condition, 6};
 }
 
 // One call from placing to its end.
-void play(Placer &placer, std::string_view id, Instant now, Duration took, PlacedEnd end)
+void play(LoadBalancer &placer, std::string_view id, Instant now, Duration took, AttemptOutcome end)
 {
-    placer.started(id, now);
-    placer.ended(id, now + took, CallClass::Interactive, took, end);
+    placer.recordStart(id, now);
+    placer.recordEnd(id, now + took, CallClass::Interactive, took, end);
 }
 
 struct ConditionRow
@@ -51,9 +51,9 @@
 
 TABLE_TEST(placer, placesOnlyWhereCallsAreTaken, conditionRows)
 {
-    Placer placer(PlacerSettings{}, seeded(1));
+    LoadBalancer placer(LoadBalancerSettings{}, seeded(1));
     const std::array candidates{upstream("a", true, row.condition)};
-    const auto placed = placer.place(Instant{}, candidates, CallClass::Interactive, nothingTried);
+    const auto placed = placer.pick(Instant{}, candidates, CallClass::Interactive, nothingTried);
     cr_assert_eq(placed.has_value(), row.placed);
 }
 
@@ -61,16 +61,16 @@
 // of them must get an even part; the first one behind another zone's would be flooded otherwise.
 Test(placer, spreadsEvenlyWhateverTheOrder)
 {
-    Placer placer(PlacerSettings{}, seeded(1));
+    LoadBalancer placer(LoadBalancerSettings{}, seeded(1));
     std::vector<std::string> ids;
     for (int index = 0; index < 12; ++index)
         ids.push_back("upstream-" + std::to_string(index));
-    std::vector<UpstreamFacts> candidates;
+    std::vector<UpstreamCandidate> candidates;
     for (std::size_t index = 0; index < ids.size(); ++index)
         candidates.push_back(upstream(ids[index], index < 4));
     std::array<int, 12> received{};
     for (int call = 0; call < 4000; ++call)
-        received[*placer.place(Instant{}, candidates, CallClass::Interactive, nothingTried)] += 1;
+        received[*placer.pick(Instant{}, candidates, CallClass::Interactive, nothingTried)] += 1;
     for (std::size_t index = 0; index < 4; ++index) {
         cr_assert_geq(received[index], 800, "upstream %zu got %d", index, received[index]);
         cr_assert_leq(received[index], 1200, "upstream %zu got %d", index, received[index]);
@@ -81,65 +81,65 @@
 // there.
 Test(placer, believesAGateThatDrains)
 {
-    Placer placer(PlacerSettings{}, seeded(1));
+    LoadBalancer placer(LoadBalancerSettings{}, seeded(1));
     const std::array candidates{upstream("a", true), upstream("b", false)};
-    placer.told("a", Instant{}, {6, 0, true});
+    placer.recordReportedLoad("a", Instant{}, {6, 0, true});
     for (int round = 0; round < 50; ++round)
-        cr_assert(placer.place(Instant{}, candidates, CallClass::Interactive, nothingTried) == 1U);
+        cr_assert(placer.pick(Instant{}, candidates, CallClass::Interactive, nothingTried) == 1U);
 }
 
 // All nodes of a service are restarted one after the other, each under the name that it had. Senders that
 // were told of the drain never sent there again and in the end refused every call, with all upstreams ready.
 Test(placer, aNodeThatDrainedAndCameBackIsUsedAgain)
 {
-    Placer placer(PlacerSettings{}, seeded(1));
+    LoadBalancer placer(LoadBalancerSettings{}, seeded(1));
     const std::array candidates{upstream("a", true)};
     const Instant told = Instant() + 1h;
-    placer.told("a", told, {6, 0, true});
-    cr_assert(!placer.place(told + 1s, candidates, CallClass::Interactive, nothingTried));
-    cr_assert(placer.place(told + 2s, candidates, CallClass::Interactive, nothingTried));
+    placer.recordReportedLoad("a", told, {6, 0, true});
+    cr_assert(!placer.pick(told + 1s, candidates, CallClass::Interactive, nothingTried));
+    cr_assert(placer.pick(told + 2s, candidates, CallClass::Interactive, nothingTried));
 }
 
 Test(placer, neverRepeatsATriedUpstream)
 {
-    Placer placer(PlacerSettings{}, seeded(1));
+    LoadBalancer placer(LoadBalancerSettings{}, seeded(1));
     const std::array candidates{upstream("a", true), upstream("b", false)};
     const std::array<std::size_t, 1> first{0};
     const std::array<std::size_t, 2> both{0, 1};
-    cr_assert(placer.place(Instant{}, candidates, CallClass::Interactive, first) == 1U);
-    cr_assert(!placer.place(Instant{}, candidates, CallClass::Interactive, both));
+    cr_assert(placer.pick(Instant{}, candidates, CallClass::Interactive, first) == 1U);
+    cr_assert(!placer.pick(Instant{}, candidates, CallClass::Interactive, both));
 }
 
 Test(placer, spillsToAnotherZoneWhenItsOwnIsFull)
 {
-    Placer placer(PlacerSettings{}, seeded(1));
+    LoadBalancer placer(LoadBalancerSettings{}, seeded(1));
     const std::array candidates{upstream("near", true), upstream("far", false)};
     const Instant now{};
     for (const std::string_view id : {"near", "far"})
-        play(placer, id, now, 5ms, PlacedEnd::Succeeded);
-    cr_assert(placer.place(now + 10s, candidates, CallClass::Interactive, nothingTried) == 0U);
+        play(placer, id, now, 5ms, AttemptOutcome::Succeeded);
+    cr_assert(placer.pick(now + 10s, candidates, CallClass::Interactive, nothingTried) == 0U);
     for (int call = 0; call < 12; ++call)
-        placer.started("near", now + 10s);
-    cr_assert(placer.place(now + 10s, candidates, CallClass::Interactive, nothingTried) == 1U);
+        placer.recordStart("near", now + 10s);
+    cr_assert(placer.pick(now + 10s, candidates, CallClass::Interactive, nothingTried) == 1U);
 }
 
 // An upstream fails every call at once and its health endpoint says that it is well. It looks idle and quick,
 // so it would draw all calls. Callers may see a handful of failures before it gets none but probes.
 Test(placer, ejectsAnUpstreamThatFailsFast)
 {
-    Placer placer(PlacerSettings{}, seeded(1));
+    LoadBalancer placer(LoadBalancerSettings{}, seeded(1));
     const std::array candidates{upstream("bad", true), upstream("good", true), upstream("fine", true)};
     Instant now{};
     int failures = 0;
     for (int call = 0; call < 1000; ++call) {
         now += 1ms;
-        const auto index = placer.place(now, candidates, CallClass::NonIdempotent, nothingTried);
+        const auto index = placer.pick(now, candidates, CallClass::NonIdempotent, nothingTried);
         const bool bad = index == 0U;
         failures += bad ? 1 : 0;
         play(placer, candidates[*index].id, now, bad ? 200us : 5ms,
-             bad ? PlacedEnd::Failed : PlacedEnd::Succeeded);
+             bad ? AttemptOutcome::Failed : AttemptOutcome::Succeeded);
     }
-    cr_assert(placer.ejected("bad"));
+    cr_assert(placer.isEjected("bad"));
     cr_assert_leq(failures, 8);
 }
 
@@ -147,42 +147,42 @@
 // its return into an outage of our own; at least half stay in.
 Test(placer, neverEjectsMoreThanItsShare)
 {
-    Placer placer(PlacerSettings{}, seeded(1));
+    LoadBalancer placer(LoadBalancerSettings{}, seeded(1));
     const std::array<std::string_view, 4> ids{"a", "b", "c", "d"};
     Instant now{};
     for (int round = 0; round < 200; ++round) {
         now += 1ms;
         for (const std::string_view id : ids)
-            play(placer, id, now, 200us, PlacedEnd::Failed);
+            play(placer, id, now, 200us, AttemptOutcome::Failed);
     }
     int ejected = 0;
     for (const std::string_view id : ids)
-        ejected += placer.ejected(id) ? 1 : 0;
+        ejected += placer.isEjected(id) ? 1 : 0;
     cr_assert_eq(ejected, 2);
     const std::array candidates{upstream("a", true), upstream("b", true), upstream("c", true),
                                 upstream("d", true)};
-    cr_assert(placer.place(now, candidates, CallClass::NonIdempotent, nothingTried));
+    cr_assert(placer.pick(now, candidates, CallClass::NonIdempotent, nothingTried));
 }
 
 // An ejected upstream has mended. It is tried with one call at a time that may be sent again, and trusted
 // after three good ones. An invoice must never be the probe.
 Test(placer, probesAnEjectedUpstreamWithCallsThatMayRunTwice)
 {
-    Placer placer(PlacerSettings{}, seeded(1));
+    LoadBalancer placer(LoadBalancerSettings{}, seeded(1));
     const std::array candidates{upstream("bad", true), upstream("good", true)};
     Instant now{};
-    play(placer, "good", now, 5ms, PlacedEnd::Succeeded);
+    play(placer, "good", now, 5ms, AttemptOutcome::Succeeded);
     for (int call = 0; call < 10; ++call)
-        play(placer, "bad", now, 200us, PlacedEnd::Failed);
-    cr_assert(placer.ejected("bad"));
+        play(placer, "bad", now, 200us, AttemptOutcome::Failed);
+    cr_assert(placer.isEjected("bad"));
     now += 1min;
     for (int call = 0; call < 100; ++call)
-        cr_assert(placer.place(now, candidates, CallClass::NonIdempotent, nothingTried) == 1U);
+        cr_assert(placer.pick(now, candidates, CallClass::NonIdempotent, nothingTried) == 1U);
     int probes = 0;
-    while (placer.ejected("bad") && probes < 1000) {
+    while (placer.isEjected("bad") && probes < 1000) {
         now += 1ms;
-        const auto index = placer.place(now, candidates, CallClass::Interactive, nothingTried);
-        play(placer, candidates[*index].id, now, 5ms, PlacedEnd::Succeeded);
+        const auto index = placer.pick(now, candidates, CallClass::Interactive, nothingTried);
+        play(placer, candidates[*index].id, now, 5ms, AttemptOutcome::Succeeded);
         probes += index == 0U ? 1 : 0;
     }
     cr_assert_eq(probes, 3);
@@ -193,16 +193,16 @@
 // elsewhere.
 Test(placer, avoidsAnUpstreamThatHasGoneSilent)
 {
-    Placer placer(PlacerSettings{}, seeded(1));
+    LoadBalancer placer(LoadBalancerSettings{}, seeded(1));
     const std::array candidates{upstream("silent", true), upstream("other", false)};
     Instant now{};
     for (const std::string_view id : {"silent", "other"})
-        play(placer, id, now, 5ms, PlacedEnd::Succeeded);
+        play(placer, id, now, 5ms, AttemptOutcome::Succeeded);
     now += 1s;
-    placer.started("silent", now);
-    placer.started("silent", now);
-    cr_assert(placer.place(now + 10ms, candidates, CallClass::Interactive, nothingTried) == 0U);
-    cr_assert(placer.place(now + 50ms, candidates, CallClass::Interactive, nothingTried) == 1U);
+    placer.recordStart("silent", now);
+    placer.recordStart("silent", now);
+    cr_assert(placer.pick(now + 10ms, candidates, CallClass::Interactive, nothingTried) == 0U);
+    cr_assert(placer.pick(now + 50ms, candidates, CallClass::Interactive, nothingTried) == 1U);
 }
 
 // Twenty nodes hear at the same moment that one of ten upstreams stands idle. Were all to act on it, that one
@@ -210,18 +210,18 @@
 Test(placer, doesNotFloodTheOneThatLookedIdle)
 {
     constexpr std::array<std::string_view, 10> ids{"0", "1", "2", "3", "4", "5", "6", "7", "8", "9"};
-    std::vector<UpstreamFacts> candidates;
+    std::vector<UpstreamCandidate> candidates;
     for (const std::string_view id : ids)
         candidates.push_back(upstream(id, true));
     std::array<int, 10> received{};
     for (std::uint64_t node = 0; node < 20; ++node) {
-        Placer placer(PlacerSettings{}, seeded(node));
+        LoadBalancer placer(LoadBalancerSettings{}, seeded(node));
         for (const std::string_view id : ids)
-            placer.told(id, Instant{}, {id == "0" ? 6U : 1U, 0, false});
+            placer.recordReportedLoad(id, Instant{}, {id == "0" ? 6U : 1U, 0, false});
         for (int call = 0; call < 10; ++call) {
             const auto index =
-                placer.place(Instant{} + 20ms, candidates, CallClass::Interactive, nothingTried);
-            placer.started(candidates[*index].id, Instant{} + 20ms);
+                placer.pick(Instant{} + 20ms, candidates, CallClass::Interactive, nothingTried);
+            placer.recordStart(candidates[*index].id, Instant{} + 20ms);
             received[*index] += 1;
         }
     }
@@ -233,13 +233,13 @@
 
 struct TwoZonesFixture
 {
-    TwoZonesFixture() { settings.otherZoneKilobyteCost = Milliseconds(5); }
+    TwoZonesFixture() { settings.crossZoneCostPerKilobyte = Milliseconds(5); }
 
-    PlacerSettings settings;
+    LoadBalancerSettings settings;
     Instant now = Instant() + std::chrono::hours(1);
     std::uint64_t number = 0;
-    std::vector<UpstreamFacts> facts{{"near", true, false, UpstreamCondition::Ready, 6},
-                                     {"far", false, false, UpstreamCondition::Ready, 6}};
+    std::vector<UpstreamCandidate> facts{{"near", true, false, UpstreamCondition::Ready, 6},
+                                         {"far", false, false, UpstreamCondition::Ready, 6}};
 };
 
 } // namespace
@@ -274,15 +274,15 @@
 TABLE_TEST(placer, aCallCrossesZonesForTheTimeThatItsBytesAreWorth, crossingRows)
 {
     TwoZonesFixture fixture;
-    Placer placer(fixture.settings, [&fixture] { return fixture.number += 7919; });
-    const ToldLoad idle{6, 0, false, Milliseconds(90), Milliseconds(0), row.answerBytes};
-    const ToldLoad busy{row.freeSlots, 0, false, Milliseconds(90), row.wait, row.answerBytes};
+    LoadBalancer placer(fixture.settings, [&fixture] { return fixture.number += 7919; });
+    const ReportedLoad idle{6, 0, false, Milliseconds(90), Milliseconds(0), row.answerBytes};
+    const ReportedLoad busy{row.freeSlots, 0, false, Milliseconds(90), row.wait, row.answerBytes};
     for (int call = 0; call < 50; ++call) {
-        placer.told("near", fixture.now, busy, 7);
-        placer.told("far", fixture.now, idle, 7);
+        placer.recordReportedLoad("near", fixture.now, busy, 7);
+        placer.recordReportedLoad("far", fixture.now, idle, 7);
     }
     const auto index =
-        placer.place(fixture.now, fixture.facts, CallClass::Interactive, {}, 7, row.requestBytes);
+        placer.pick(fixture.now, fixture.facts, CallClass::Interactive, {}, 7, row.requestBytes);
     cr_assert(index == std::optional(row.expected), "%s", row.what);
 }
 
@@ -291,16 +291,17 @@
 Test(placer, aFarGateThatRefusedIsLeftAloneForAWhile)
 {
     TwoZonesFixture fixture;
-    Placer placer(fixture.settings, [&fixture] { return fixture.number += 7919; });
+    LoadBalancer placer(fixture.settings, [&fixture] { return fixture.number += 7919; });
     const std::size_t tried[] = {0};
-    cr_assert(placer.place(fixture.now, fixture.facts, CallClass::Interactive, tried, 7)
+    cr_assert(placer.pick(fixture.now, fixture.facts, CallClass::Interactive, tried, 7)
               == std::optional<std::size_t>(1));
-    placer.started("far", fixture.now);
-    placer.ended("far", fixture.now, CallClass::Interactive, Milliseconds(1), PlacedEnd::RefusedNotRun, 7);
-    cr_assert(!placer.place(fixture.now, fixture.facts, CallClass::Interactive, tried, 7));
-    cr_assert(placer.place(fixture.now, fixture.facts, CallClass::Interactive, tried, 8).has_value());
+    placer.recordStart("far", fixture.now);
+    placer.recordEnd("far", fixture.now, CallClass::Interactive, Milliseconds(1),
+                     AttemptOutcome::RefusedNotRun, 7);
+    cr_assert(!placer.pick(fixture.now, fixture.facts, CallClass::Interactive, tried, 7));
+    cr_assert(placer.pick(fixture.now, fixture.facts, CallClass::Interactive, tried, 8).has_value());
     const Instant later = fixture.now + std::chrono::milliseconds(200);
-    cr_assert(placer.place(later, fixture.facts, CallClass::Interactive, tried, 7).has_value());
+    cr_assert(placer.pick(later, fixture.facts, CallClass::Interactive, tried, 7).has_value());
 }
 
 // Every zone is full for seconds. Each call that its own zone refused was tried in another zone again 150 ms
@@ -309,27 +310,29 @@
 Test(placer, aFullZoneIsAskedEverLess)
 {
     TwoZonesFixture fixture;
-    Placer placer(fixture.settings, [&fixture] { return fixture.number += 7919; });
+    LoadBalancer placer(fixture.settings, [&fixture] { return fixture.number += 7919; });
     const std::size_t tried[] = {0};
     int asked = 0;
     for (int call = 0; call < 600; ++call) {
         fixture.now += Milliseconds(10);
-        if (!placer.place(fixture.now, fixture.facts, CallClass::Interactive, tried, 7))
+        if (!placer.pick(fixture.now, fixture.facts, CallClass::Interactive, tried, 7))
             continue;
         ++asked;
-        placer.started("far", fixture.now);
-        placer.ended("far", fixture.now, CallClass::Interactive, Milliseconds(1), PlacedEnd::RefusedNotRun,
-                     7);
+        placer.recordStart("far", fixture.now);
+        placer.recordEnd("far", fixture.now, CallClass::Interactive, Milliseconds(1),
+                         AttemptOutcome::RefusedNotRun, 7);
     }
     cr_assert(asked >= 6 && asked <= 9, "asked %d times in 6 s; 40 with a pause that does not grow", asked);
 
     fixture.now += std::chrono::seconds(2);
-    play(placer, "far", fixture.now, Milliseconds(1), PlacedEnd::Succeeded);
-    placer.started("far", fixture.now);
-    placer.ended("far", fixture.now, CallClass::Interactive, Milliseconds(1), PlacedEnd::Succeeded, 7);
-    placer.ended("far", fixture.now, CallClass::Interactive, Milliseconds(1), PlacedEnd::RefusedNotRun, 7);
+    play(placer, "far", fixture.now, Milliseconds(1), AttemptOutcome::Succeeded);
+    placer.recordStart("far", fixture.now);
+    placer.recordEnd("far", fixture.now, CallClass::Interactive, Milliseconds(1), AttemptOutcome::Succeeded,
+                     7);
+    placer.recordEnd("far", fixture.now, CallClass::Interactive, Milliseconds(1),
+                     AttemptOutcome::RefusedNotRun, 7);
     const Instant later = fixture.now + Milliseconds(160);
-    cr_assert(placer.place(later, fixture.facts, CallClass::Interactive, tried, 7).has_value());
+    cr_assert(placer.pick(later, fixture.facts, CallClass::Interactive, tried, 7).has_value());
 }
 
 // The only upstream of a zone leaves, and the other zones refuse one call in three. The zone's callers got
@@ -338,16 +341,16 @@
 {
     TwoZonesFixture fixture;
     fixture.facts[0].condition = UpstreamCondition::Draining;
-    Placer placer(fixture.settings, [&fixture] { return fixture.number += 7919; });
+    LoadBalancer placer(fixture.settings, [&fixture] { return fixture.number += 7919; });
     int asked = 0;
     for (int call = 0; call < 300; ++call) {
         fixture.now += Milliseconds(5);
-        if (!placer.place(fixture.now, fixture.facts, CallClass::Interactive, {}, 7))
+        if (!placer.pick(fixture.now, fixture.facts, CallClass::Interactive, {}, 7))
             continue;
         ++asked;
-        placer.started("far", fixture.now);
-        const PlacedEnd end = call % 3 == 0 ? PlacedEnd::RefusedNotRun : PlacedEnd::Succeeded;
-        placer.ended("far", fixture.now, CallClass::Interactive, Milliseconds(1), end, 7);
+        placer.recordStart("far", fixture.now);
+        const AttemptOutcome end = call % 3 == 0 ? AttemptOutcome::RefusedNotRun : AttemptOutcome::Succeeded;
+        placer.recordEnd("far", fixture.now, CallClass::Interactive, Milliseconds(1), end, 7);
     }
     cr_assert(asked == 300, "%d of 300 calls were tried", asked);
 }
@@ -360,8 +363,8 @@
 public:
     explicit ZoneLoad(std::size_t choices)
     {
-        PlacerSettings settings;
-        settings.otherZoneKilobyteCost = Milliseconds(5);
+        LoadBalancerSettings settings;
+        settings.crossZoneCostPerKilobyte = Milliseconds(5);
         settings.choices = choices;
         for (std::uint64_t sender = 0; sender < 60; ++sender)
             this->placers.emplace_back(settings, seeded(sender));
@@ -377,9 +380,9 @@
             this->now += std::chrono::microseconds(this->random() % 4800);
             this->endCalls();
             const std::size_t sender = this->random() % this->placers.size();
-            Placer &placer = this->placers[sender];
-            const std::size_t index = *placer.place(this->now, this->facts, CallClass::Interactive, {});
-            placer.started(names[index], this->now);
+            LoadBalancer &placer = this->placers[sender];
+            const std::size_t index = *placer.pick(this->now, this->facts, CallClass::Interactive, {});
+            placer.recordStart(names[index], this->now);
             // Six slots, each of which is free at a time of its own.
             auto &slots = this->freeAt[index];
             const auto slot = std::min_element(slots.begin(), slots.end());
@@ -418,17 +421,17 @@
                 return false;
             const auto busy = std::ranges::count_if(this->freeAt[call.index],
                                                     [&](Instant free) { return free > this->now; });
-            Placer &placer = this->placers[call.sender];
-            placer.ended(names[call.index], call.ends, CallClass::Interactive, call.ends - call.sent,
-                         PlacedEnd::Succeeded);
-            placer.told(names[call.index], call.ends,
-                        {slotsEach - static_cast<std::uint32_t>(busy), 0, false});
+            LoadBalancer &placer = this->placers[call.sender];
+            placer.recordEnd(names[call.index], call.ends, CallClass::Interactive, call.ends - call.sent,
+                             AttemptOutcome::Succeeded);
+            placer.recordReportedLoad(names[call.index], call.ends,
+                                      {slotsEach - static_cast<std::uint32_t>(busy), 0, false});
             return true;
         });
     }
 
-    std::vector<Placer> placers;
-    std::vector<UpstreamFacts> facts;
+    std::vector<LoadBalancer> placers;
+    std::vector<UpstreamCandidate> facts;
     std::array<std::array<Instant, slotsEach>, names.size()> freeAt{};
     std::vector<Call> running;
     Instant now = Instant() + std::chrono::hours(1);
--- a/Tests/LibDecide/TestRetry.cpp
+++ b/Tests/LibDecide/TestRetry.cpp
@@ -30,7 +30,7 @@
 
 TABLE_TEST(retry, sendsAgainOnlyWhatCannotRunTwice, sendAgainRows)
 {
-    cr_assert_eq(maySendAgain(row.phase, row.idempotent, row.refusedNotRun), row.expected);
+    cr_assert_eq(isRetrySafe(row.phase, row.idempotent, row.refusedNotRun), row.expected);
 }
 
 // Callers see every call to a dead zone fail for a while. Each of the node's calls is tried again at once.
@@ -43,8 +43,8 @@
     int retries = 0;
     for (int call = 0; call < 10'000; ++call) {
         now += 1ms;
-        budget.firstTry(now);
-        retries += budget.tryRetry(now) ? 1 : 0;
+        budget.recordFirstAttempt(now);
+        retries += budget.tryAcquireRetry(now) ? 1 : 0;
     }
     cr_assert_leq(retries, 10'000 / 10 + 2 * 5);
     cr_assert_geq(retries, 10'000 / 10 - 1);
@@ -60,9 +60,9 @@
     std::vector<Instant> retries;
     for (int call = 0; call < 40'000; ++call) {
         now += 1ms;
-        budget.firstTry(now);
+        budget.recordFirstAttempt(now);
         const bool failing = call % 15'000 > 9'000;
-        if (failing && budget.tryRetry(now))
+        if (failing && budget.tryAcquireRetry(now))
             retries.push_back(now);
     }
     for (std::size_t first = 0; first < retries.size(); ++first) {
@@ -76,7 +76,7 @@
     HedgeDelay hedge;
     cr_assert(!hedge.delay());
     for (int call = 0; call < 1000; ++call)
-        hedge.observed(call % 25 == 0 ? 50ms : 2ms);
+        hedge.observe(call % 25 == 0 ? 50ms : 2ms);
     cr_assert(hedge.delay() >= 2ms);
     cr_assert(hedge.delay() < 3ms);
 }
--- a/Tests/LibDecide/TestRetryMatcher.cpp
+++ b/Tests/LibDecide/TestRetryMatcher.cpp
@@ -36,9 +36,9 @@
 // is new.
 TABLE_TEST(returningCallers, isKnownByTheMomentItGivesUp, nextRows)
 {
-    ReturningCallers callers;
-    callers.refused(begin, kind, begin + 800ms, begin - 5ms);
-    const auto first = callers.recognise(begin + row.cameAfter, row.kind, begin + row.givesUpAfter);
+    RetryMatcher callers;
+    callers.recordRefusal(begin, kind, begin + 800ms, begin - 5ms);
+    const auto first = callers.matchRetry(begin + row.cameAfter, row.kind, begin + row.givesUpAfter);
     cr_assert(first.has_value() == row.recognised, "%s", row.what);
     cr_assert(!first || *first == begin - 5ms, "%s", row.what);
 }
@@ -46,10 +46,10 @@
 // Two callers are refused together and both come back; a third one with their deadline is somebody else.
 Test(returningCallers, eachRefusalIsMatchedOnce)
 {
-    ReturningCallers callers;
-    callers.refused(begin, kind, begin + 800ms, begin);
-    callers.refused(begin, kind, begin + 801ms, begin);
-    cr_assert(callers.recognise(begin + 100ms, kind, begin + 800ms));
-    cr_assert(callers.recognise(begin + 100ms, kind, begin + 801ms));
-    cr_assert(!callers.recognise(begin + 100ms, kind, begin + 800ms));
+    RetryMatcher callers;
+    callers.recordRefusal(begin, kind, begin + 800ms, begin);
+    callers.recordRefusal(begin, kind, begin + 801ms, begin);
+    cr_assert(callers.matchRetry(begin + 100ms, kind, begin + 800ms));
+    cr_assert(callers.matchRetry(begin + 100ms, kind, begin + 801ms));
+    cr_assert(!callers.matchRetry(begin + 100ms, kind, begin + 800ms));
 }
--- a/Tests/LibDecide/TestTargetGate.cpp
+++ b/Tests/LibDecide/TestTargetGate.cpp
@@ -31,7 +31,7 @@
 
 std::map<std::string, LoadOutcome> playTargets(const std::vector<LoadKind> &kinds, std::uint64_t seed)
 {
-    TargetLoad load(admissionHooksOf(std::make_shared<TargetGate>(TargetGateSettings{6, 256, seed})), 6,
+    TargetLoad load(makeAdmissionHooks(std::make_shared<TargetGate>(TargetGateSettings{6, 256, seed})), 6,
                     seed);
     auto outcomes = load.play(kinds, std::chrono::seconds(30));
     cr_assert(load.open == 0, "%d tickets never ended", load.open);
@@ -41,7 +41,7 @@
 
 std::map<std::string, LoadOutcome> playClasses(const std::vector<LoadKind> &kinds, std::uint64_t seed)
 {
-    TargetLoad load(admissionHooksOf(std::make_shared<Gate>(GateSettings{6, 256, seed})), 6, seed);
+    TargetLoad load(makeAdmissionHooks(std::make_shared<Gate>(GateSettings{6, 256, seed})), 6, seed);
     return load.play(kinds, std::chrono::seconds(30));
 }
 
@@ -128,7 +128,7 @@
 TABLE_TEST(targetGate, quickCallsPassLongOnesThatQueue, queueRows)
 {
     for (const std::uint64_t seed : seeds) {
-        TargetLoad load(admissionHooksOf(std::make_shared<TargetGate>(TargetGateSettings{6, 256, seed})), 6,
+        TargetLoad load(makeAdmissionHooks(std::make_shared<TargetGate>(TargetGateSettings{6, 256, seed})), 6,
                         seed);
         load.offersAgainForLate = true;
         auto outcomes = load.play(entryMix(row.factor), std::chrono::seconds(30));
@@ -158,7 +158,7 @@
     const Instant now = Instant() + std::chrono::hours(1);
     std::vector<GateAction> actions;
     gate.setState(now, UpstreamCondition::Ready, 1, actions);
-    CallFacts facts;
+    CallAttributes facts;
     facts.deadline = now + std::chrono::seconds(5);
     const GateDecision first = gate.offer(now, facts, actions);
     const GateDecision second = gate.offer(now, facts, actions);
@@ -167,7 +167,7 @@
     cr_assert(actions.size() == 1 && actions[0].ticket == second.ticket && !actions[0].start);
     cr_assert(actions[0].reason == RefusalReason::Draining);
     cr_assert(gate.offer(now, facts, actions).reason == RefusalReason::Draining);
-    gate.finish(now, first.ticket, CallEnd::Succeeded, actions);
+    gate.finish(now, first.ticket, CallOutcome::Succeeded, actions);
     cr_assert(gate.running() == 0 && gate.queued() == 0);
 }
 
@@ -187,7 +187,7 @@
         double inTime[2] = {};
         for (const Return returns : {Return::TakenForNew, Return::Recognised}) {
             const auto rule = std::make_shared<TargetGate>(TargetGateSettings{12, 256, seed});
-            TargetLoad load(admissionHooksOf(rule), 12, seed);
+            TargetLoad load(makeAdmissionHooks(rule), 12, seed);
             load.offersAgainForLate = true;
             load.returns = returns;
             const auto outcomes = load.play(kinds, std::chrono::seconds(20));
@@ -207,7 +207,7 @@
     const std::vector<LoadKind> kinds{{"list", 115, 110, 0.8, 2, Milliseconds(300), Milliseconds(800)}};
     for (const std::uint64_t seed : seeds) {
         const auto rule = std::make_shared<TargetGate>(TargetGateSettings{12, 256, seed});
-        TargetLoad load(admissionHooksOf(rule), 12, seed);
+        TargetLoad load(makeAdmissionHooks(rule), 12, seed);
         const auto outcomes = load.play(kinds, std::chrono::seconds(60));
         cr_assert(outcomes.at("list").inTimeShare() > 0.79, "%.3f", outcomes.at("list").inTimeShare());
     }
--- a/Tests/Node/GateFixture.h
+++ b/Tests/Node/GateFixture.h
@@ -24,7 +24,7 @@
                        this->began.push_back(request);
                        this->exchanges.push_back(std::move(exchange));
                    })
-        , gate("gate", admissionHooksOf(std::make_shared<Gate>(GateSettings{1, 64, 7})), CallHeaders{},
+        , gate("gate", makeAdmissionHooks(std::make_shared<Gate>(GateSettings{1, 64, 7})), CallHeaders{},
                this->claimHooks(), this->quarantineHooks(), this->history, this->observer)
     {
         cr_assert(this->upstream.listen("127.0.0.1:0").has_value());
--- a/Tests/Node/TestForwardedCall.cpp
+++ b/Tests/Node/TestForwardedCall.cpp
@@ -76,7 +76,7 @@
     SpanRing spans{64};
     RequestObserver observer{this->log, this->metrics, this->spans};
     LocalGate gate{"node",
-                   admissionHooksOf(std::make_shared<Gate>(GateSettings{})),
+                   makeAdmissionHooks(std::make_shared<Gate>(GateSettings{})),
                    CallHeaders{},
                    {},
                    {},
@@ -86,7 +86,7 @@
     Worker worker{this->settings, this->gate, this->bodies, this->observer, {}};
     std::array<FakePeer, 2> peers{FakePeer(this->worker.ioContext()), FakePeer(this->worker.ioContext())};
     std::shared_ptr<ServiceState> service = std::make_shared<ServiceState>(
-        PlacerSettings{}, 0.1, 10, [number = std::uint64_t{0}]() mutable { return number += 7919; });
+        LoadBalancerSettings{}, 0.1, 10, [number = std::uint64_t{0}]() mutable { return number += 7919; });
     UpstreamViewBuilder builder{"node", "zone", [this] { return this->service; }};
     RcuPointer<UpstreamView> view;
     CallIds ids{"node"};
@@ -279,7 +279,7 @@
 {
     ForwardFixture fixture;
     for (int seen = 0; seen < 1000; ++seen)
-        fixture.service->hedge.observed(Milliseconds(5));
+        fixture.service->hedge.observe(Milliseconds(5));
     CallPlan plan = ForwardFixture::plan(true);
     plan.hedged = true;
     fixture.call(plan);
--- a/Tests/Node/TestLocalGate.cpp
+++ b/Tests/Node/TestLocalGate.cpp
@@ -384,8 +384,8 @@
 Test(localGate, askingAheadKeepsNoTicket)
 {
     GateFixture fixture;
-    AdmissionHooks hooks = admissionHooksOf(std::make_shared<Gate>(GateSettings{1, 64, 7}));
-    hooks.wouldAdmit = [](Instant, const CallFacts &) { return false; };
+    AdmissionHooks hooks = makeAdmissionHooks(std::make_shared<Gate>(GateSettings{1, 64, 7}));
+    hooks.wouldAdmit = [](Instant, const CallAttributes &) { return false; };
     LocalGate gate("gate", hooks, CallHeaders{}, ClaimHooks{}, QuarantineHooks{}, fixture.history,
                    fixture.observer);
     gate.announce({"booking", fixture.upstream.address(), 1, UpstreamCondition::Ready});
@@ -398,7 +398,7 @@
     };
     cr_assert(!ask()); // It would start.
     cr_assert(gate.running() == 0);
-    CallFacts facts;
+    CallAttributes facts;
     facts.deadline = SteadyClock::now() + std::chrono::seconds(30);
     std::vector<GateAction> actions;
     hooks.offer(SteadyClock::now(), facts, actions);
--- a/Tests/Node/TestPeerServer.cpp
+++ b/Tests/Node/TestPeerServer.cpp
@@ -217,7 +217,7 @@
 BodyGrantSettings narrowLink()
 {
     BodyGrantSettings grants;
-    grants.ahead = Milliseconds(300);
+    grants.inFlightTime = Milliseconds(300);
     grants.bytesPerSecond = static_cast<double>(smallestGrantedBody) / 0.2;
     return grants;
 }
@@ -378,7 +378,7 @@
 Test(peerServer, aGrantWhoseBodyDoesNotComeExpires)
 {
     BodyGrantSettings grants = narrowLink();
-    grants.grantLife = Milliseconds(50);
+    grants.grantLifetime = Milliseconds(50);
     PeerServerFixture fixture(grants);
     Sender sender(fixture);
     sender.send(encodeFrame(FrameType::CallHead, headOf(1, smallestGrantedBody)));
@@ -436,7 +436,7 @@
 Test(peerServer, theLineIsBounded)
 {
     BodyGrantSettings grants = narrowLink();
-    grants.mostWaiting = 2;
+    grants.maximumQueued = 2;
     PeerServerFixture fixture(grants);
     Sender sender(fixture);
     for (const std::uint64_t callId : {1, 2, 3, 4})
--- a/Tests/Node/TestRequestQuarantine.cpp
+++ b/Tests/Node/TestRequestQuarantine.cpp
@@ -107,7 +107,7 @@
     fixture.crash(requestOf("/tours/9"));
     fixture.crash(requestOf("/tours/9"));
     fixture.answer(requestOf("/tours/9"));
-    fixture.passed = 2 * recentAnswerLife;
+    fixture.passed = 2 * recentAnswerWindow;
     fixture.crash(requestOf("/tours/9"));
     cr_assert(!fixture.refuses(requestOf("/tours/9")));
     fixture.crash(requestOf("/tours/9"));
--- a/Tests/Platform/PlatformGate.h
+++ b/Tests/Platform/PlatformGate.h
@@ -44,7 +44,7 @@
     SpanRing spans{16};
     RequestObserver observer{this->log, this->metrics, this->spans};
     LocalGate gate{"gate",
-                   admissionHooksOf(std::make_shared<TargetGate>(TargetGateSettings{})),
+                   makeAdmissionHooks(std::make_shared<TargetGate>(TargetGateSettings{})),
                    Platform::platformHeaders(),
                    {},
                    {},
--- a/Utilities/NodeBench/Main.cpp
+++ b/Utilities/NodeBench/Main.cpp
@@ -88,7 +88,7 @@
 std::shared_ptr<ServiceState> makeState()
 {
     auto random = [generator = std::mt19937_64(7)]() mutable { return generator(); };
-    return std::make_shared<ServiceState>(PlacerSettings{}, 0.1, 10, random);
+    return std::make_shared<ServiceState>(LoadBalancerSettings{}, 0.1, 10, random);
 }
 
 void measureView(const MeshSize &size)
@@ -111,13 +111,13 @@
     UpstreamViewBuilder builder("host-100000", "zone-0", makeState);
     const auto view = builder.build(makeMembers(size));
     const ServiceView *service = view->find("service-0");
-    Placer &placer = service->state->placer;
+    LoadBalancer &placer = service->state->placer;
     const Instant now = SteadyClock::now();
     const auto call = [&] {
-        const auto index = placer.place(now, service->facts, CallClass::Interactive, {});
-        placer.started(service->facts[*index].id, now);
-        placer.ended(service->facts[*index].id, now, CallClass::Interactive, Milliseconds(1),
-                     PlacedEnd::Succeeded);
+        const auto index = placer.pick(now, service->facts, CallClass::Interactive, {});
+        placer.recordStart(service->facts[*index].id, now);
+        placer.recordEnd(service->facts[*index].id, now, CallClass::Interactive, Milliseconds(1),
+                         AttemptOutcome::Succeeded);
     };
     report("placing one call among " + std::to_string(candidates), medianNanoseconds(9, 20000, call), "ns");
 }
--- a/Utilities/PolicyBench/Cost.cpp
+++ b/Utilities/PolicyBench/Cost.cpp
@@ -43,23 +43,26 @@
     std::vector<std::string> ids;
     for (std::size_t index = 0; index < count; ++index)
         ids.push_back("upstream-host-" + std::to_string(index));
-    std::vector<UpstreamFacts> candidates;
+    std::vector<UpstreamCandidate> candidates;
     for (std::size_t index = 0; index < count; ++index)
-        candidates.push_back(UpstreamFacts{ids[index], index % 4 == 0, false, UpstreamCondition::Ready, 6});
-    Placer placer(PlacerSettings{}, [numbers = std::mt19937_64(1)]() mutable { return numbers(); });
+        candidates.push_back(
+            UpstreamCandidate{ids[index], index % 4 == 0, false, UpstreamCondition::Ready, 6});
+    LoadBalancer placer(LoadBalancerSettings{},
+                        [numbers = std::mt19937_64(1)]() mutable { return numbers(); });
     for (const std::string &id : ids)
-        placer.told(id, Instant{}, {3, 0, false});
+        placer.recordReportedLoad(id, Instant{}, {3, 0, false});
     std::array<std::size_t, 1> sent{};
     printCost(out, name, [&](int number) {
         const Instant now = Instant{} + number * 10us;
-        const auto index = placer.place(now, candidates, CallClass::Interactive, {});
+        const auto index = placer.pick(now, candidates, CallClass::Interactive, {});
         sent[0] = *index;
-        placer.started(candidates[*index].id, now);
-        placer.ended(candidates[*index].id, now + 1ms, CallClass::Interactive, 1ms, PlacedEnd::Succeeded);
-        placer.told(candidates[*index].id, now + 1ms, {3, 0, false});
+        placer.recordStart(candidates[*index].id, now);
+        placer.recordEnd(candidates[*index].id, now + 1ms, CallClass::Interactive, 1ms,
+                         AttemptOutcome::Succeeded);
+        placer.recordReportedLoad(candidates[*index].id, now + 1ms, {3, 0, false});
     });
     printCost(out, (std::string(name) + ", place() alone").c_str(), [&](int number) {
-        sent[0] = *placer.place(Instant{} + number * 10us, candidates, CallClass::Interactive, {});
+        sent[0] = *placer.pick(Instant{} + number * 10us, candidates, CallClass::Interactive, {});
     });
 }
 
@@ -77,23 +80,24 @@
     printCost(out, "gate offer and finish, free slot", [&](int number) {
         const Instant now = Instant{} + number * 1ms;
         actions.clear();
-        const GateDecision decision = gate.offer(now, CallFacts{CallClass::Interactive, now + 1s}, actions);
-        gate.finish(now + 500us, decision.ticket, CallEnd::Succeeded, actions);
+        const GateDecision decision =
+            gate.offer(now, CallAttributes{CallClass::Interactive, now + 1s}, actions);
+        gate.finish(now + 500us, decision.ticket, CallOutcome::Succeeded, actions);
     });
 
     std::vector<Ticket> running;
     const Instant full = Instant{} + 1h * 24;
     while (gate.queued() < 100) {
         const GateDecision decision =
-            gate.offer(full, CallFacts{CallClass::Interactive, full + 24h}, actions);
+            gate.offer(full, CallAttributes{CallClass::Interactive, full + 24h}, actions);
         if (decision.verdict == GateVerdict::Start)
             running.push_back(decision.ticket);
     }
     printCost(out, "gate offer and finish, 100 queued", [&](int number) {
         const Instant now = full + number * 10us;
         actions.clear();
-        gate.offer(now, CallFacts{CallClass::Interactive, now + 24h}, actions);
-        gate.finish(now, running[number % running.size()], CallEnd::Succeeded, actions);
+        gate.offer(now, CallAttributes{CallClass::Interactive, now + 24h}, actions);
+        gate.finish(now, running[number % running.size()], CallOutcome::Succeeded, actions);
         running[number % running.size()] = actions.front().ticket;
     });
     printCost(out, "gate nextDeadline, 100 queued",
--- a/Utilities/PolicyBench/FakeNode.cpp
+++ b/Utilities/PolicyBench/FakeNode.cpp
@@ -28,7 +28,7 @@
         this->services[service].placer = policy.makePlacer(seed * 31 + service);
 }
 
-void FakeNode::addCandidate(std::uint32_t service, const UpstreamFacts &facts, const Candidate &candidate)
+void FakeNode::addCandidate(std::uint32_t service, const UpstreamCandidate &facts, const Candidate &candidate)
 {
     this->services[service].facts.push_back(facts);
     this->services[service].candidates.push_back(candidate);
@@ -45,7 +45,7 @@
 
 void FakeNode::receive(const std::shared_ptr<Call> &call)
 {
-    this->budget.firstTry(this->timeline.now());
+    this->budget.recordFirstAttempt(this->timeline.now());
     this->timeline.at(call->deadline, [this, call] {
         if (!call->over)
             this->giveUp(call);
@@ -58,7 +58,7 @@
 {
     if (!this->hedges || call->callClass != CallClass::Interactive)
         return;
-    this->hedgeBudget.firstTry(this->timeline.now());
+    this->hedgeBudget.recordFirstAttempt(this->timeline.now());
     const std::optional<Duration> delay = this->hedgeDelay.delay();
     if (!delay)
         return;
@@ -66,7 +66,7 @@
         const std::size_t known = this->services[call->service].facts.size();
         if (call->over || call->tried.size() > 1 || known < 2 || !this->waitsElsewhere(call))
             return;
-        if (this->hedgeBudget.tryRetry(this->timeline.now()))
+        if (this->hedgeBudget.tryAcquireRetry(this->timeline.now()))
             this->send(call);
     });
 }
@@ -110,14 +110,14 @@
     if (!sending->over) {
         sending->over = true;
         std::erase_if(this->sendings, [&](const auto &entry) { return entry.first == sending; });
-        PlacedEnd end = PlacedEnd::Succeeded;
+        AttemptOutcome end = AttemptOutcome::Succeeded;
         if (answer.reply == Reply::Failed)
-            end = PlacedEnd::Failed;
+            end = AttemptOutcome::Failed;
         if (answer.reply == Reply::NotRun)
-            end = PlacedEnd::RefusedNotRun;
+            end = AttemptOutcome::RefusedNotRun;
         service.placer.ended(id, now, call->callClass, now - sending->sentAt, end);
-        if (end == PlacedEnd::Succeeded && call->callClass == CallClass::Interactive)
-            this->hedgeDelay.observed(now - sending->sentAt);
+        if (end == AttemptOutcome::Succeeded && call->callClass == CallClass::Interactive)
+            this->hedgeDelay.observe(now - sending->sentAt);
     }
     if (answer.loadTold)
         service.placer.told(id, now, answer.freeSlots, answer.queued, answer.draining);
@@ -133,12 +133,12 @@
 {
     if (reply == Reply::Done || call.tried.size() >= mostTries || this->timeline.now() >= call.deadline)
         return false;
-    if (!maySendAgain(CallPhase::Answered, call.idempotent(), reply == Reply::NotRun))
+    if (!isRetrySafe(CallPhase::Answered, call.idempotent(), reply == Reply::NotRun))
         return false;
-    const std::vector<UpstreamFacts> &facts = this->services[call.service].facts;
+    const std::vector<UpstreamCandidate> &facts = this->services[call.service].facts;
     if (call.tried.size() >= facts.size())
         return false;
-    return !this->budgetsRetries || this->budget.tryRetry(this->timeline.now());
+    return !this->budgetsRetries || this->budget.tryAcquireRetry(this->timeline.now());
 }
 
 bool FakeNode::waitsElsewhere(const std::shared_ptr<Call> &call) const
@@ -148,7 +148,7 @@
 }
 
 // Ends what is still out for the call and cancels it there.
-void FakeNode::dropSendings(const std::shared_ptr<Call> &call, PlacedEnd end)
+void FakeNode::dropSendings(const std::shared_ptr<Call> &call, AttemptOutcome end)
 {
     Service &service = this->services[call->service];
     for (const auto &[sending, position] : this->sendings) {
@@ -166,14 +166,14 @@
 
 void FakeNode::giveUp(const std::shared_ptr<Call> &call)
 {
-    this->dropSendings(call, PlacedEnd::Unknown);
+    this->dropSendings(call, AttemptOutcome::Unknown);
     this->finish(call, Answer{});
 }
 
 void FakeNode::finish(const std::shared_ptr<Call> &call, const Answer &answer)
 {
     call->over = true;
-    this->dropSendings(call, PlacedEnd::Cancelled);
+    this->dropSendings(call, AttemptOutcome::Cancelled);
     call->reply(answer);
 }
 
--- a/Utilities/PolicyBench/FakeNode.h
+++ b/Utilities/PolicyBench/FakeNode.h
@@ -29,7 +29,7 @@
 
     // Commands.
 
-    void addCandidate(std::uint32_t service, const UpstreamFacts &facts, const Candidate &candidate);
+    void addCandidate(std::uint32_t service, const UpstreamCandidate &facts, const Candidate &candidate);
     void learn(std::uint32_t service, std::size_t index, UpstreamCondition condition);
     void receive(const std::shared_ptr<Call> &call);
 
@@ -37,7 +37,7 @@
     struct Service
     {
         PlacerHooks placer;
-        std::vector<UpstreamFacts> facts;
+        std::vector<UpstreamCandidate> facts;
         std::vector<Candidate> candidates; // Beside the facts, in the same order.
     };
 
@@ -46,7 +46,7 @@
     bool sendsAgain(const Call &call, Reply reply);
     void hedge(const std::shared_ptr<Call> &call);
     bool waitsElsewhere(const std::shared_ptr<Call> &call) const;
-    void dropSendings(const std::shared_ptr<Call> &call, PlacedEnd end);
+    void dropSendings(const std::shared_ptr<Call> &call, AttemptOutcome end);
     void giveUp(const std::shared_ptr<Call> &call);
     void finish(const std::shared_ptr<Call> &call, const Answer &answer);
 
--- a/Utilities/PolicyBench/FakeUpstream.cpp
+++ b/Utilities/PolicyBench/FakeUpstream.cpp
@@ -99,7 +99,7 @@
         && this->condition != UpstreamCondition::Ready)
         this->outcome.lateToDraining += 1;
     std::vector<GateAction> actions;
-    const CallFacts facts{sending->call->callClass, sending->call->deadline};
+    const CallAttributes facts{sending->call->callClass, sending->call->deadline};
     const GateDecision decision = this->gate.offer(this->timeline.now(), facts, actions);
     switch (decision.verdict) {
     case GateVerdict::Start:
@@ -131,7 +131,7 @@
         // What is not idempotent runs on: stopped half way it would be neither done nor not run.
         if (running.sending != sending || !sending->call->idempotent())
             continue;
-        this->end(ticket, CallEnd::Cancelled);
+        this->end(ticket, CallOutcome::Cancelled);
         return;
     }
 }
@@ -154,13 +154,13 @@
     this->outcome.overSlots += this->active.size() > this->slots ? 1 : 0;
 
     Duration takes = std::chrono::duration_cast<Duration>(call.work * this->slowdown());
-    CallEnd how = CallEnd::Succeeded;
+    CallOutcome how = CallOutcome::Succeeded;
     if (this->failsFast) {
         takes = failingTakes;
-        how = CallEnd::Failed;
+        how = CallOutcome::Failed;
     } else if (this->active.size() > this->bears) {
         takes = sheddingTakes;
-        how = CallEnd::Shed;
+        how = CallOutcome::Shed;
         call.runs -= 1; // The upstream says that it did not run.
     }
     this->outcome.ranTwice += call.runs > 1 && !call.idempotent() ? 1 : 0;
@@ -171,7 +171,7 @@
     });
 }
 
-void FakeUpstream::end(Ticket ticket, CallEnd how)
+void FakeUpstream::end(Ticket ticket, CallOutcome how)
 {
     const auto found = this->active.find(ticket);
     if (found == this->active.end())
@@ -181,11 +181,11 @@
     this->countWork(ended);
     std::vector<GateAction> actions;
     this->gate.finish(this->timeline.now(), ticket, how, actions);
-    if (how == CallEnd::Succeeded)
+    if (how == CallOutcome::Succeeded)
         this->respond(ended.sending, Reply::Done, Duration::zero());
-    if (how == CallEnd::Failed)
+    if (how == CallOutcome::Failed)
         this->respond(ended.sending, Reply::Failed, Duration::zero());
-    if (how == CallEnd::Shed)
+    if (how == CallOutcome::Shed)
         this->respond(ended.sending, Reply::NotRun, 50ms);
     this->apply(actions);
 }
@@ -246,14 +246,14 @@
     for (const auto &[ticket, running] : lost) {
         this->countWork(running);
         std::vector<GateAction> actions;
-        this->gate.finish(this->timeline.now(), ticket, CallEnd::Failed, actions);
+        this->gate.finish(this->timeline.now(), ticket, CallOutcome::Failed, actions);
         this->respond(running.sending, Reply::Failed, Duration::zero());
         for (const GateAction &action : actions) {
             const std::shared_ptr<Sending> sending = this->waiting.at(action.ticket);
             this->waiting.erase(action.ticket);
             this->respond(sending, Reply::NotRun, 1s);
             std::vector<GateAction> none;
-            this->gate.finish(this->timeline.now(), action.ticket, CallEnd::Failed, none);
+            this->gate.finish(this->timeline.now(), action.ticket, CallOutcome::Failed, none);
         }
     }
 }
--- a/Utilities/PolicyBench/FakeUpstream.h
+++ b/Utilities/PolicyBench/FakeUpstream.h
@@ -37,7 +37,7 @@
 
     void setCondition(UpstreamCondition condition);
     void begin(Ticket ticket, const std::shared_ptr<Sending> &sending);
-    void end(Ticket ticket, CallEnd end);
+    void end(Ticket ticket, CallOutcome end);
     void apply(const std::vector<GateAction> &actions);
     void respond(const std::shared_ptr<Sending> &sending, Reply reply, Duration retryAfter);
     void watchDeadline();
--- a/Utilities/PolicyBench/Fleet.cpp
+++ b/Utilities/PolicyBench/Fleet.cpp
@@ -83,7 +83,7 @@
 void FakeFleet::connect(Host &from, std::size_t to)
 {
     const Host &target = this->hosts[to];
-    UpstreamFacts facts;
+    UpstreamCandidate facts;
     facts.id = target.id;
     facts.sameZone = from.zone == target.zone;
     facts.sameHost = &from == &target;
--- a/Utilities/PolicyBench/Policy.cpp
+++ b/Utilities/PolicyBench/Policy.cpp
@@ -20,7 +20,7 @@
 class PlainGate
 {
 public:
-    GateDecision offer(Instant, const CallFacts &, std::vector<GateAction> &)
+    GateDecision offer(Instant, const CallAttributes &, std::vector<GateAction> &)
     {
         if (!this->open)
             return GateDecision{GateVerdict::Refuse, 0, RefusalReason::NotReady, 1s};
@@ -75,10 +75,10 @@
 {
     const auto gate = std::make_shared<PlainGate>();
     GateHooks hooks;
-    hooks.offer = [gate](Instant now, const CallFacts &facts, std::vector<GateAction> &actions) {
+    hooks.offer = [gate](Instant now, const CallAttributes &facts, std::vector<GateAction> &actions) {
         return gate->offer(now, facts, actions);
     };
-    hooks.finish = [gate](Instant, Ticket ticket, CallEnd, std::vector<GateAction> &actions) {
+    hooks.finish = [gate](Instant, Ticket ticket, CallOutcome, std::vector<GateAction> &actions) {
         gate->finish(ticket, actions);
     };
     hooks.cancel = [gate](Instant, Ticket ticket, std::vector<GateAction> &) { gate->cancel(ticket); };
@@ -93,7 +93,7 @@
 
 GateHooks ourGateWith(std::uint64_t seed, std::uint32_t maximumQueue)
 {
-    return admissionHooksOf(std::make_shared<Gate>(GateSettings{0, maximumQueue, seed}));
+    return makeAdmissionHooks(std::make_shared<Gate>(GateSettings{0, maximumQueue, seed}));
 }
 
 GateHooks ourGate(std::uint64_t seed)
@@ -101,26 +101,26 @@
     return ourGateWith(seed, GateSettings{}.maximumQueue);
 }
 
-PlacerHooks ourPlacer(std::uint64_t seed, PlacerSettings settings)
+PlacerHooks ourPlacer(std::uint64_t seed, LoadBalancerSettings settings)
 {
     const auto numbers = std::make_shared<std::mt19937_64>(seed);
-    const auto placer = std::make_shared<Placer>(settings, [numbers] { return (*numbers)(); });
+    const auto placer = std::make_shared<LoadBalancer>(settings, [numbers] { return (*numbers)(); });
     PlacerHooks hooks;
-    hooks.place = [placer](Instant now, std::span<const UpstreamFacts> candidates, CallClass callClass,
+    hooks.place = [placer](Instant now, std::span<const UpstreamCandidate> candidates, CallClass callClass,
                            std::span<const std::size_t> tried) {
-        return placer->place(now, candidates, callClass, tried);
+        return placer->pick(now, candidates, callClass, tried);
     };
-    hooks.started = [placer](std::string_view id, Instant now) { placer->started(id, now); };
+    hooks.started = [placer](std::string_view id, Instant now) { placer->recordStart(id, now); };
     hooks.ended = [placer](std::string_view id, Instant now, CallClass callClass, Duration took,
-                           PlacedEnd end) { placer->ended(id, now, callClass, took, end); };
+                           AttemptOutcome end) { placer->recordEnd(id, now, callClass, took, end); };
     hooks.told = [placer](std::string_view id, Instant now, std::uint32_t freeSlots, std::uint32_t queued,
                           bool draining) {
-        placer->told(id, now, {freeSlots, queued, draining});
+        placer->recordReportedLoad(id, now, {freeSlots, queued, draining});
     };
     return hooks;
 }
 
-bool eligible(const UpstreamFacts &facts, std::span<const std::size_t> tried, std::size_t index)
+bool eligible(const UpstreamCandidate &facts, std::span<const std::size_t> tried, std::size_t index)
 {
     const bool takes =
         facts.condition == UpstreamCondition::Ready || facts.condition == UpstreamCondition::Warming;
@@ -131,7 +131,7 @@
 {
     PlacerHooks hooks;
     hooks.started = [](std::string_view, Instant) {};
-    hooks.ended = [](std::string_view, Instant, CallClass, Duration, PlacedEnd) {};
+    hooks.ended = [](std::string_view, Instant, CallClass, Duration, AttemptOutcome) {};
     hooks.told = [](std::string_view, Instant, std::uint32_t, std::uint32_t, bool) {};
     return hooks;
 }
@@ -140,7 +140,7 @@
 {
     PlacerHooks hooks = quietHooks();
     const auto turn = std::make_shared<std::size_t>(seed % 97);
-    hooks.place = [turn](Instant, std::span<const UpstreamFacts> candidates, CallClass,
+    hooks.place = [turn](Instant, std::span<const UpstreamCandidate> candidates, CallClass,
                          std::span<const std::size_t> tried) -> std::optional<std::size_t> {
         for (std::size_t step = 0; step < candidates.size(); ++step) {
             const std::size_t index = (*turn)++ % candidates.size();
@@ -158,10 +158,10 @@
     const auto counts = std::make_shared<std::map<std::string, int, std::less<>>>();
     const auto numbers = std::make_shared<std::mt19937_64>(seed);
     hooks.started = [counts](std::string_view id, Instant) { (*counts)[std::string(id)] += 1; };
-    hooks.ended = [counts](std::string_view id, Instant, CallClass, Duration, PlacedEnd) {
+    hooks.ended = [counts](std::string_view id, Instant, CallClass, Duration, AttemptOutcome) {
         (*counts)[std::string(id)] -= 1;
     };
-    hooks.place = [counts, numbers](Instant, std::span<const UpstreamFacts> candidates, CallClass,
+    hooks.place = [counts, numbers](Instant, std::span<const UpstreamCandidate> candidates, CallClass,
                                     std::span<const std::size_t> tried) -> std::optional<std::size_t> {
         std::optional<std::size_t> best;
         int fewest = std::numeric_limits<int>::max();
@@ -179,7 +179,7 @@
     return hooks;
 }
 
-Policy oursWith(std::string name, PlacerSettings settings)
+Policy oursWith(std::string name, LoadBalancerSettings settings)
 {
     Policy policy = ours();
     policy.name = std::move(name);
@@ -192,8 +192,8 @@
 {
     GateHooks hooks = ourGate(seed);
     const auto offer = hooks.offer;
-    hooks.offer = [offer](Instant now, const CallFacts &facts, std::vector<GateAction> &actions) {
-        return offer(now, CallFacts{facts.callClass, now + 1h}, actions);
+    hooks.offer = [offer](Instant now, const CallAttributes &facts, std::vector<GateAction> &actions) {
+        return offer(now, CallAttributes{facts.callClass, now + 1h}, actions);
     };
     return hooks;
 }
@@ -203,8 +203,8 @@
 {
     GateHooks hooks = ourGate(seed);
     const auto offer = hooks.offer;
-    hooks.offer = [offer](Instant now, const CallFacts &facts, std::vector<GateAction> &actions) {
-        return offer(now, CallFacts{CallClass::Interactive, facts.deadline}, actions);
+    hooks.offer = [offer](Instant now, const CallAttributes &facts, std::vector<GateAction> &actions) {
+        return offer(now, CallAttributes{CallClass::Interactive, facts.deadline}, actions);
     };
     return hooks;
 }
@@ -214,8 +214,8 @@
 {
     GateHooks hooks = ourGate(seed);
     const auto finish = hooks.finish;
-    hooks.finish = [finish](Instant now, Ticket ticket, CallEnd end, std::vector<GateAction> &actions) {
-        finish(now, ticket, end == CallEnd::Shed ? CallEnd::Failed : end, actions);
+    hooks.finish = [finish](Instant now, Ticket ticket, CallOutcome end, std::vector<GateAction> &actions) {
+        finish(now, ticket, end == CallOutcome::Shed ? CallOutcome::Failed : end, actions);
     };
     return hooks;
 }
@@ -226,7 +226,7 @@
     static constexpr Duration fixedReturn = 100ms;
     GateHooks hooks = ourGate(seed);
     const auto offer = hooks.offer;
-    hooks.offer = [offer](Instant now, const CallFacts &facts, std::vector<GateAction> &actions) {
+    hooks.offer = [offer](Instant now, const CallAttributes &facts, std::vector<GateAction> &actions) {
         GateDecision decision = offer(now, facts, actions);
         if (decision.verdict == GateVerdict::Refuse)
             decision.retryAfter = fixedReturn;
@@ -264,29 +264,29 @@
 
 Policy ours()
 {
-    return Policy{"sagecrank", ourGate, [](std::uint64_t seed) { return ourPlacer(seed, PlacerSettings{}); },
-                  true};
+    return Policy{"sagecrank", ourGate,
+                  [](std::uint64_t seed) { return ourPlacer(seed, LoadBalancerSettings{}); }, true};
 }
 
 std::vector<Policy> ablations()
 {
     std::vector<Policy> policies;
-    PlacerSettings settings;
-    settings.ejectedShare = 0;
+    LoadBalancerSettings settings;
+    settings.maximumEjectedShare = 0;
     policies.push_back(oursWith("no-ejection", settings));
 
     for (const std::size_t choices : {1, 4, 16}) {
-        settings = PlacerSettings{};
+        settings = LoadBalancerSettings{};
         settings.choices = choices;
         policies.push_back(oursWith("choices-" + std::to_string(choices), settings));
     }
 
-    settings = PlacerSettings{};
-    settings.toldLoadLife = 1ns;
+    settings = LoadBalancerSettings{};
+    settings.reportedLoadDecay = 1ns;
     policies.push_back(oursWith("no-told-load", settings));
 
-    settings = PlacerSettings{};
-    settings.otherZoneCost = Duration::zero();
+    settings = LoadBalancerSettings{};
+    settings.crossZoneCost = Duration::zero();
     policies.push_back(oursWith("no-zone-cost", settings));
 
     Policy plainPlacing = ours();
--- a/Utilities/PolicyBench/Policy.h
+++ b/Utilities/PolicyBench/Policy.h
@@ -18,11 +18,11 @@
 
 struct PlacerHooks
 {
-    std::function<std::optional<std::size_t>(Instant, std::span<const UpstreamFacts>, CallClass,
+    std::function<std::optional<std::size_t>(Instant, std::span<const UpstreamCandidate>, CallClass,
                                              std::span<const std::size_t>)>
         place;
     std::function<void(std::string_view, Instant)> started;
-    std::function<void(std::string_view, Instant, CallClass, Duration, PlacedEnd)> ended;
+    std::function<void(std::string_view, Instant, CallClass, Duration, AttemptOutcome)> ended;
     std::function<void(std::string_view, Instant, std::uint32_t, std::uint32_t, bool)> told;
 };
 
--- a/Utilities/PolicyBench/Report.cpp
+++ b/Utilities/PolicyBench/Report.cpp
@@ -43,7 +43,7 @@
 void printRows(std::ostream &out, const std::string &scenario, const std::string &policy,
                const Outcome &outcome)
 {
-    for (const CallClass callClass : classOrder) {
+    for (const CallClass callClass : classPriorityOrder) {
         const ClassOutcome &row = outcome.of(callClass);
         out << "| " << scenario << " | " << policy << " | " << callClassNames.name(callClass) << " | "
             << row.callers << " | " << percent(row.share(row.inTime)) << " | "
