--- a/Services/Node/Callers/ForwardedCall.cpp
+++ b/Services/Node/Callers/ForwardedCall.cpp
@@ -88,8 +88,8 @@
 void ForwardedCall::start()
 {
     this->worker.opened(*this);
-    if (this->context.quarantine.refusedFor) {
-        if (const auto refused = this->context.quarantine.refusedFor(this->request))
+    if (this->context.quarantine.remainingQuarantine) {
+        if (const auto refused = this->context.quarantine.remainingQuarantine(this->request))
             return this->finish(refusal(reasonQuarantined, *refused));
     }
     if (!this->placeAndSend())
@@ -371,7 +371,7 @@
         if (!attempt.open)
             continue;
         if (attempt.local)
-            this->context.gate.withdraw(attempt.local);
+            this->context.gate.refuseIfQueued(attempt.local);
         else if (attempt.link)
             attempt.link->withdraw(attempt.peerCallId);
     }
--- a/Services/Node/Callers/Worker.cpp
+++ b/Services/Node/Callers/Worker.cpp
@@ -44,7 +44,7 @@
                                                               std::shared_ptr<HttpExchange> exchange) {
                        handle(*this, std::move(request), std::move(exchange));
                    })
-    , peerServer(GateHome{this->context, this->client}, gate, bodies, observer)
+    , peerServer(RequestThread{this->context, this->client}, gate, bodies, observer)
     , peersTimer(this->context)
 {
 }
--- a/Services/Node/Callers/Worker.h
+++ b/Services/Node/Callers/Worker.h
@@ -61,7 +61,7 @@
     bool allAnswered() const; // Nothing that was taken waits for its answer to leave.
 
     boost::asio::io_context &ioContext() { return this->context; }
-    GateHome gateHome() { return {this->context, this->client}; }
+    RequestThread gateHome() { return {this->context, this->client}; }
 
     // Drops connections to nodes that no call has used since.
     void forgetUnused(Instant before);
--- a/Services/Node/Gate/ClaimService.h
+++ b/Services/Node/Gate/ClaimService.h
@@ -18,7 +18,7 @@
     ClaimHooks hooks();
 
     // Claims whose end is still to be written; a node that leaves waits for them. On the control thread.
-    std::size_t unsettled() const { return this->posted.load() + this->keeper.settlingCount(); }
+    std::size_t unsettledClaims() const { return this->posted.load() + this->keeper.settlingCount(); }
 
 private:
     void wakeLater();
--- a/Services/Node/Gate/GateCall.cpp
+++ b/Services/Node/Gate/GateCall.cpp
@@ -6,7 +6,7 @@
 namespace Sagecrank {
 
 // The address is digested: it may be longer than the table lets a key be.
-std::string claimNameOf(const CallRequest &request)
+std::string claimKeyOf(const CallRequest &request)
 {
     if (request.idempotencyKey.empty())
         return {};
--- a/Services/Node/Gate/GateCall.h
+++ b/Services/Node/Gate/GateCall.h
@@ -17,18 +17,18 @@
 // A key names one piece of work at one address: the same key at another path or with another method is other
 // work. The service is left out on purpose, since a new version may send the path to another one between two
 // attempts.
-std::string claimNameOf(const CallRequest &request);
+std::string claimKeyOf(const CallRequest &request);
 
 class GateCall
 {
 public:
-    GateCall(GateHome home, CallRequest request, LocalGate::AnswerHook answer, RequestObserver &observer)
+    GateCall(RequestThread home, CallRequest request, LocalGate::AnswerHook answer, RequestObserver &observer)
         : home(home)
         , request(std::move(request))
         , answer(std::move(answer))
         , arrived(SteadyClock::now())
         , deadline(this->arrived + Microseconds(this->request.remainingMicroseconds))
-        , claimName(claimNameOf(this->request))
+        , claimName(claimKeyOf(this->request))
         , waitTimer(home.context)
         , gateSpan(observer.openSpan(SpanName::Gate, this->request.traceParent, this->arrived))
     {
@@ -62,7 +62,7 @@
         return facts;
     }
 
-    GateHome home;
+    RequestThread home;
     CallRequest request;
     LocalGate::AnswerHook answer;
     Instant arrived;
--- a/Services/Node/Gate/LocalGate.cpp
+++ b/Services/Node/Gate/LocalGate.cpp
@@ -46,13 +46,13 @@
 {
 }
 
-std::shared_ptr<GateCall> LocalGate::submit(GateHome home, CallRequest request, AnswerHook answer)
+std::shared_ptr<GateCall> LocalGate::submit(RequestThread home, CallRequest request, AnswerHook answer)
 {
     const auto call = std::make_shared<GateCall>(home, std::move(request), std::move(answer), this->observer);
     ++this->callsInside;
     std::optional<Duration> refused;
-    if (this->quarantine.refusedFor)
-        refused = this->quarantine.refusedFor(call->request);
+    if (this->quarantine.remainingQuarantine)
+        refused = this->quarantine.remainingQuarantine(call->request);
     // A host may have been given to another service while the sender's view is old.
     if (!this->serves(call->request.cluster))
         this->refuse(call, refusalReasonNames.name(RefusalReason::NotReady), unreachableRetryAfter);
@@ -65,7 +65,8 @@
     return call;
 }
 
-bool LocalGate::refuseAhead(GateHome home, CallRequest request, Duration bodyTakes, AnswerHook answer)
+bool LocalGate::tryRefuseBeforeBody(RequestThread home, CallRequest request, Duration bodyTakes,
+                                    AnswerHook answer)
 {
     const auto call = std::make_shared<GateCall>(home, std::move(request), std::move(answer), this->observer);
     CallAttributes facts = call->facts();
@@ -88,8 +89,8 @@
     return true;
 }
 
-void LocalGate::refuseUnsent(GateHome home, CallRequest request, std::string_view reason, Duration retryAfter,
-                             AnswerHook answer)
+void LocalGate::refuseUnsubmitted(RequestThread home, CallRequest request, std::string_view reason,
+                                  Duration retryAfter, AnswerHook answer)
 {
     const auto call = std::make_shared<GateCall>(home, std::move(request), std::move(answer), this->observer);
     ++this->callsInside;
@@ -378,17 +379,17 @@
     --this->callsInside; // Only now: whoever passes the answer on has counted it as not sent.
 }
 
-void LocalGate::withdraw(const std::shared_ptr<GateCall> &call)
+void LocalGate::refuseIfQueued(const std::shared_ptr<GateCall> &call)
 {
     if (call->stage == GateCallStage::Waiting)
         this->cancel(call);
 }
 
-void LocalGate::withdrawWaiting()
+void LocalGate::refuseQueuedCalls()
 {
     const std::lock_guard guard(this->mutex);
     for (const auto &[ticket, call] : this->waiting)
-        boost::asio::post(call->home.context, [this, call = call] { this->withdraw(call); });
+        boost::asio::post(call->home.context, [this, call = call] { this->refuseIfQueued(call); });
 }
 
 void LocalGate::cancel(const std::shared_ptr<GateCall> &call)
@@ -436,7 +437,7 @@
     this->perform(std::move(actions));
 }
 
-void LocalGate::limitQueue(std::uint32_t maximumQueue)
+void LocalGate::setMaximumQueue(std::uint32_t maximumQueue)
 {
     const std::lock_guard guard(this->mutex);
     this->gate.setMaximumQueue(maximumQueue);
@@ -470,7 +471,7 @@
     return this->gate.running();
 }
 
-UpstreamAnnouncement LocalGate::announced() const
+UpstreamAnnouncement LocalGate::announcement() const
 {
     const std::lock_guard guard(this->mutex);
     return this->current;
--- a/Services/Node/Gate/LocalGate.h
+++ b/Services/Node/Gate/LocalGate.h
@@ -28,7 +28,7 @@
 namespace Sagecrank {
 
 // A request thread, as the gate needs it.
-struct GateHome
+struct RequestThread
 {
     boost::asio::io_context &context;
     HttpClient &client;
@@ -50,32 +50,32 @@
               QuarantineHooks quarantine, HistoryRecorder &history, RequestObserver &observer);
 
     // Runs on the home's thread, and so does the answer, which comes exactly once.
-    std::shared_ptr<GateCall> submit(GateHome home, CallRequest request, AnswerHook answer);
+    std::shared_ptr<GateCall> submit(RequestThread home, CallRequest request, AnswerHook answer);
 
     // Of a call whose body is here after `bodyTakes`: answers it when it would be refused then, and keeps
     // nothing of it otherwise.
-    bool refuseAhead(GateHome home, CallRequest request, Duration bodyTakes, AnswerHook answer);
+    bool tryRefuseBeforeBody(RequestThread home, CallRequest request, Duration bodyTakes, AnswerHook answer);
 
     // Answers a call that submit() was not given.
-    void refuseUnsent(GateHome home, CallRequest request, std::string_view reason, Duration retryAfter,
-                      AnswerHook answer);
+    void refuseUnsubmitted(RequestThread home, CallRequest request, std::string_view reason,
+                           Duration retryAfter, AnswerHook answer);
 
     // The caller gave up. A call that waits is taken out; one that runs is cut off only when it may be run
     // again, since cutting a reservation off leaves nobody knowing whether it ran.
     void cancel(const std::shared_ptr<GateCall> &call);
 
     // The caller's node is about to end: a call that waits is refused, one that runs goes on.
-    void withdraw(const std::shared_ptr<GateCall> &call);
+    void refuseIfQueued(const std::shared_ptr<GateCall> &call);
 
     // From any thread.
     void announce(const UpstreamAnnouncement &announcement);
-    void withdrawWaiting();                      // This node is about to end: all that waits is refused.
-    void limitQueue(std::uint32_t maximumQueue); // As the configuration says for the service.
+    void refuseQueuedCalls();                         // This node is about to end: all that waits is refused.
+    void setMaximumQueue(std::uint32_t maximumQueue); // As the configuration says for the service.
 
     std::uint32_t inFlight() const { return this->callsInside.load(); } // Waiting, claiming or running.
     std::uint32_t queued() const;
     std::uint32_t running() const;
-    UpstreamAnnouncement announced() const;
+    UpstreamAnnouncement announcement() const;
 
 private:
     bool serves(const std::string &cluster) const;
@@ -97,9 +97,9 @@
     void noteAnswer(const GateCall &call);
     void noteFailure(const GateCall &call, const HttpFailure &failure);
     void noteUpstreamEnded();
-    void checkUpstream(GateHome home, const std::string &address);
-    void lookAgain(GateHome home, const std::string &address, Instant begun);
-    void upstreamChecked(GateHome home, const std::string &address, Instant begun, Reachability found);
+    void checkUpstream(RequestThread home, const std::string &address);
+    void lookAgain(RequestThread home, const std::string &address, Instant begun);
+    void upstreamChecked(RequestThread home, const std::string &address, Instant begun, Reachability found);
     void freeSlot(const std::shared_ptr<GateCall> &call, CallOutcome end);
     void refuse(const std::shared_ptr<GateCall> &call, std::string_view reason, Duration retryAfter);
     void tellRefusal(const GateCall &call, std::string_view reason, Duration retryAfter) const;
--- a/Services/Node/Gate/LocalGateUpstream.cpp
+++ b/Services/Node/Gate/LocalGateUpstream.cpp
@@ -96,7 +96,7 @@
     if (response.status != statusMisdirected)
         return this->refuse(call, reasonShed, retryAfterOf(response));
     // Another upstream stands at this address: nothing more goes there until one announces itself.
-    UpstreamAnnouncement gone = this->announced();
+    UpstreamAnnouncement gone = this->announcement();
     if (gone.instance == call->upstreamInstance) {
         gone.condition = UpstreamCondition::NotReady;
         this->announce(gone);
@@ -162,8 +162,8 @@
         const std::lock_guard guard(this->mutex);
         this->witness.recordAnswer(call.started);
     }
-    if (this->quarantine.answered)
-        this->quarantine.answered(call.request);
+    if (this->quarantine.reportAnswer)
+        this->quarantine.reportAnswer(call.request);
 }
 
 // What this node ended itself, or gave up at the deadline, says nothing about the upstream.
@@ -187,7 +187,7 @@
 }
 
 // Waiting for the next call to find the upstream gone takes seconds where placing avoids it already.
-void LocalGate::checkUpstream(GateHome home, const std::string &address)
+void LocalGate::checkUpstream(RequestThread home, const std::string &address)
 {
     const Instant begun = SteadyClock::now();
     {
@@ -206,7 +206,7 @@
 // Failure: an upstream ends, and the connection of the request that crashed it is the first to close.
 // Symptom: the others and what it listens on are open for a moment more, and the crash passes for a broken
 // connection.
-void LocalGate::lookAgain(GateHome home, const std::string &address, Instant begun)
+void LocalGate::lookAgain(RequestThread home, const std::string &address, Instant begun)
 {
     const auto timer = std::make_shared<boost::asio::steady_timer>(home.context, upstreamClosingTime);
     // It lives as long as its hook.
@@ -217,7 +217,8 @@
     });
 }
 
-void LocalGate::upstreamChecked(GateHome home, const std::string &address, Instant begun, Reachability found)
+void LocalGate::upstreamChecked(RequestThread home, const std::string &address, Instant begun,
+                                Reachability found)
 {
     bool more = false;
     {
@@ -241,8 +242,8 @@
         const std::lock_guard guard(this->mutex);
         requests = this->witness.recordUpstreamExit(SteadyClock::now());
     }
-    if (!requests.empty() && this->quarantine.crashed)
-        this->quarantine.crashed(requests);
+    if (!requests.empty() && this->quarantine.reportCrash)
+        this->quarantine.reportCrash(requests);
 }
 
 } // namespace Sagecrank
--- a/Services/Node/Gate/QuarantineHooks.h
+++ b/Services/Node/Gate/QuarantineHooks.h
@@ -15,11 +15,11 @@
 struct QuarantineHooks
 {
     // For how long a request like this one is refused; nothing when it may run.
-    std::function<std::optional<Duration>(const CallRequest &)> refusedFor;
+    std::function<std::optional<Duration>(const CallRequest &)> remainingQuarantine;
     // The upstream beside this node crashed while these ran on it.
-    std::function<void(const std::vector<RequestFingerprint> &)> crashed;
+    std::function<void(const std::vector<RequestFingerprint> &)> reportCrash;
     // The upstream answered the request.
-    std::function<void(const CallRequest &)> answered;
+    std::function<void(const CallRequest &)> reportAnswer;
 };
 
 } // namespace Sagecrank
--- a/Services/Node/Gate/RequestQuarantine.cpp
+++ b/Services/Node/Gate/RequestQuarantine.cpp
@@ -41,9 +41,9 @@
 QuarantineHooks RequestQuarantine::requestHooks()
 {
     QuarantineHooks made;
-    made.refusedFor = [this](const CallRequest &request) { return this->refusedFor(request); };
-    made.crashed = [this](const std::vector<RequestFingerprint> &requests) { this->crashed(requests); };
-    made.answered = [this](const CallRequest &request) { this->answered(request); };
+    made.remainingQuarantine = [this](const CallRequest &request) { return this->refusedFor(request); };
+    made.reportCrash = [this](const std::vector<RequestFingerprint> &requests) { this->crashed(requests); };
+    made.reportAnswer = [this](const CallRequest &request) { this->answered(request); };
     return made;
 }
 
@@ -66,9 +66,9 @@
     std::vector<Notice> notices;
     for (const RequestFingerprint request : requests) {
         notices.push_back(noticeOf(request, crash, CrashReportState::Crashed, noticeLife));
-        this->hooks.announce(notices.back());
+        this->hooks.publish(notices.back());
     }
-    this->hooks.crashed(notices);
+    this->hooks.crashesReported(notices);
 }
 
 void RequestQuarantine::answered(const CallRequest &request)
@@ -86,7 +86,7 @@
         const bool concerned = report.state == CrashReportState::Crashed
                                && std::ranges::find(fingerprints, report.request) != fingerprints.end();
         if (concerned)
-            this->hooks.announce(
+            this->hooks.publish(
                 noticeOf(report.request, report.crash, CrashReportState::Cleared, noticeLife));
     }
 }
@@ -102,12 +102,12 @@
             recent = this->recentAnswers.contains(now, report.request);
         }
         if (recent && report.state == CrashReportState::Crashed)
-            this->hooks.announce(
+            this->hooks.publish(
                 noticeOf(report.request, report.crash, CrashReportState::Cleared, noticeLife));
     }
 }
 
-void RequestQuarantine::replace(Instant now, const std::vector<Notice> &notices)
+void RequestQuarantine::update(Instant now, const std::vector<Notice> &notices)
 {
     const std::vector<CrashReport> reports = reportsOf(now, notices);
     this->clearAnswered(now, reports);
@@ -122,7 +122,7 @@
     std::ranges::sort(refused);
     for (const RequestFingerprint request : refused) {
         if (!std::ranges::binary_search(this->refusedBefore, request))
-            this->hooks.refused(request);
+            this->hooks.quarantined(request);
     }
     for (const RequestFingerprint request : this->refusedBefore) {
         if (!std::ranges::binary_search(refused, request))
--- a/Services/Node/Gate/RequestQuarantine.h
+++ b/Services/Node/Gate/RequestQuarantine.h
@@ -17,10 +17,11 @@
 
 struct RequestQuarantineHooks
 {
-    std::function<void(const Notice &)> announce; // To all nodes, this one included; from any thread.
+    std::function<void(const Notice &)> publish; // To all nodes, this one included; from any thread.
     // The upstream beside this node crashed under these; from any thread, after they were announced.
-    std::function<void(const std::vector<Notice> &)> crashed;
-    std::function<void(RequestFingerprint)> refused; // From now on; on the control thread, like the next one.
+    std::function<void(const std::vector<Notice> &)> crashesReported;
+    std::function<void(RequestFingerprint)>
+        quarantined; // From now on; on the control thread, like the next one.
     std::function<void(RequestFingerprint)> released;
     std::function<std::uint64_t()> random; // Names crashes; from any thread.
 };
@@ -34,7 +35,7 @@
     QuarantineHooks requestHooks();
 
     // All notices that this node holds; on the control thread.
-    void replace(Instant now, const std::vector<Notice> &notices);
+    void update(Instant now, const std::vector<Notice> &notices);
 
 private:
     std::optional<Duration> refusedFor(const CallRequest &request) const;
--- a/Services/Node/Node.cpp
+++ b/Services/Node/Node.cpp
@@ -232,7 +232,7 @@
     };
     hooks.sourceBack = [this](const SourceReturn &found) { this->nodeLog.sourceBack(found); };
     hooks.noticesChanged = [this](const std::vector<Notice> &notices) {
-        this->quarantine.replace(SteadyClock::now(), notices);
+        this->quarantine.update(SteadyClock::now(), notices);
         for (const Notice &notice : notices) {
             if (notice.state == static_cast<std::uint8_t>(CrashReportState::Cleared))
                 this->record.noteCleared(notice.subject, notice.source);
@@ -244,14 +244,14 @@
 RequestQuarantineHooks Node::quarantineHooks()
 {
     RequestQuarantineHooks hooks;
-    hooks.announce = [this](const Notice &notice) { this->plane.announce(notice); };
-    hooks.crashed = [this](const std::vector<Notice> &notices) {
+    hooks.publish = [this](const Notice &notice) { this->plane.announce(notice); };
+    hooks.crashesReported = [this](const std::vector<Notice> &notices) {
         this->observer.upstreamCrashed(notices.size());
         boost::asio::post(this->control, [this, notices] {
             this->record.noteCrashes(keptCrashes(notices, unixMilliseconds()));
         });
     };
-    hooks.refused = [this](RequestFingerprint request) { this->nodeLog.requestQuarantined(request); };
+    hooks.quarantined = [this](RequestFingerprint request) { this->nodeLog.requestQuarantined(request); };
     hooks.released = [this](RequestFingerprint request) { this->nodeLog.requestReleased(request); };
     hooks.random = [] {
         thread_local std::mt19937_64 generator(std::random_device{}());
@@ -429,9 +429,9 @@
 void Node::limitQueue()
 {
     const auto snapshot = this->configuration.read();
-    const Section *section = snapshot ? snapshot->section(this->gate.announced().cluster) : nullptr;
+    const Section *section = snapshot ? snapshot->section(this->gate.announcement().cluster) : nullptr;
     if (section != nullptr)
-        this->gate.limitQueue(section->maximumQueue);
+        this->gate.setMaximumQueue(section->maximumQueue);
 }
 
 // Failure: hosts come and go all day, and what was learnt of each is kept. Symptom: memory that grows for
--- a/Services/Node/NodeEnd.cpp
+++ b/Services/Node/NodeEnd.cpp
@@ -11,7 +11,7 @@
 
 bool Node::isIdle() const
 {
-    return this->gate.inFlight() == 0 && this->callsForwarded == 0 && this->claims.unsettled() == 0
+    return this->gate.inFlight() == 0 && this->callsForwarded == 0 && this->claims.unsettledClaims() == 0
            && std::ranges::all_of(this->workers, &Worker::allAnswered);
 }
 
@@ -65,7 +65,7 @@
     };
     hooks.idle = [this] { return this->isIdle(); };
     hooks.withdrawWaiting = [this] {
-        this->gate.withdrawWaiting();
+        this->gate.refuseQueuedCalls();
         for (const auto &worker : this->workers)
             worker->withdrawWaiting();
     };
--- a/Services/Node/Peers/PeerServer.cpp
+++ b/Services/Node/Peers/PeerServer.cpp
@@ -26,7 +26,7 @@
 
 struct PeerServer::State
 {
-    State(GateHome home, LocalGate &gate, BodyLine &bodies, RequestObserver &observer)
+    State(RequestThread home, LocalGate &gate, BodyLine &bodies, RequestObserver &observer)
         : home(home)
         , gate(gate)
         , bodies(bodies)
@@ -35,7 +35,7 @@
     {
     }
 
-    GateHome home;
+    RequestThread home;
     LocalGate &gate;
     BodyLine &bodies;
     RequestObserver &observer;
@@ -151,7 +151,7 @@
         case FrameType::CallCancel:
             return this->takeCancel(payload, &LocalGate::cancel);
         case FrameType::CallWithdraw:
-            return this->takeCancel(payload, &LocalGate::withdraw);
+            return this->takeCancel(payload, &LocalGate::refuseIfQueued);
         default:
             this->close(makeError(ErrorKind::InvalidInput, "read peer frame", "", "unexpected type"));
         }
@@ -291,16 +291,16 @@
 
     bool refuseAhead(const CallAhead &call, Duration bodyTakes)
     {
-        return this->server->gate.refuseAhead(this->server->home, call.callNow(), bodyTakes,
-                                              this->answerAhead());
+        return this->server->gate.tryRefuseBeforeBody(this->server->home, call.callNow(), bodyTakes,
+                                                      this->answerAhead());
     }
 
     void refuseUnsent(const CallAhead &call, std::string_view reason)
     {
         BodyLine &bodies = this->server->bodies;
         const Duration retryAfter = bodies.expected(call.head.bodyBytes, call.head.call.priority);
-        this->server->gate.refuseUnsent(this->server->home, call.callNow(), reason, retryAfter,
-                                        this->answerAhead());
+        this->server->gate.refuseUnsubmitted(this->server->home, call.callNow(), reason, retryAfter,
+                                             this->answerAhead());
     }
 
     LocalGate::AnswerHook answerAhead()
@@ -354,7 +354,7 @@
             return this->close(cancel.error());
         const auto waiting = this->ahead.find(cancel.value().callId);
         if (waiting != this->ahead.end())
-            return this->takeBack(waiting->second, cancelCall == &LocalGate::withdraw);
+            return this->takeBack(waiting->second, cancelCall == &LocalGate::refuseIfQueued);
         const auto found = this->calls.find(cancel.value().callId);
         if (found == this->calls.end())
             return;
@@ -448,7 +448,7 @@
 
 } // namespace
 
-PeerServer::PeerServer(GateHome home, LocalGate &gate, BodyLine &bodies, RequestObserver &observer)
+PeerServer::PeerServer(RequestThread home, LocalGate &gate, BodyLine &bodies, RequestObserver &observer)
     : state(std::make_shared<State>(home, gate, bodies, observer))
 {
 }
--- a/Services/Node/Peers/PeerServer.h
+++ b/Services/Node/Peers/PeerServer.h
@@ -17,7 +17,7 @@
 class PeerServer
 {
 public:
-    PeerServer(GateHome home, LocalGate &gate, BodyLine &bodies, RequestObserver &observer);
+    PeerServer(RequestThread home, LocalGate &gate, BodyLine &bodies, RequestObserver &observer);
     ~PeerServer();
     PeerServer(const PeerServer &) = delete;
     PeerServer &operator=(const PeerServer &) = delete;
--- a/Tests/Node/GateFixture.h
+++ b/Tests/Node/GateFixture.h
@@ -21,7 +21,7 @@
     GateFixture()
         : upstream(this->context, HttpServerSettings{},
                    [this](HttpRequest request, std::shared_ptr<HttpExchange> exchange) {
-                       this->began.push_back(request);
+                       this->receivedRequests.push_back(request);
                        this->exchanges.push_back(std::move(exchange));
                    })
         , gate("gate", makeAdmissionHooks(std::make_shared<Gate>(GateSettings{1, 64, 7})), CallHeaders{},
@@ -72,7 +72,7 @@
 
     boost::asio::io_context context{1};
     HttpClient client{this->context, HttpClientSettings{}};
-    std::vector<HttpRequest> began; // What the upstream was given, in order.
+    std::vector<HttpRequest> receivedRequests; // What the upstream was given, in order.
     std::vector<std::shared_ptr<HttpExchange>> exchanges;
     HttpServer upstream;
     HistoryRecorder history{"gate", false};
@@ -90,22 +90,24 @@
     std::vector<std::string> leftUnknown;
     std::string quarantinedTarget; // Requests for it are refused.
     std::vector<std::vector<RequestFingerprint>> crashes;
-    std::vector<std::string> cleared; // Targets of answered requests.
+    std::vector<std::string> answeredTargets; // Targets of answered requests.
     LocalGate gate;
 
 private:
     QuarantineHooks quarantineHooks()
     {
         QuarantineHooks hooks;
-        hooks.refusedFor = [this](const CallRequest &request) -> std::optional<Duration> {
+        hooks.remainingQuarantine = [this](const CallRequest &request) -> std::optional<Duration> {
             if (this->quarantinedTarget.empty() || request.target != this->quarantinedTarget)
                 return std::nullopt;
             return std::chrono::minutes(5);
         };
-        hooks.crashed = [this](const std::vector<RequestFingerprint> &requests) {
+        hooks.reportCrash = [this](const std::vector<RequestFingerprint> &requests) {
             this->crashes.push_back(requests);
         };
-        hooks.answered = [this](const CallRequest &request) { this->cleared.push_back(request.target); };
+        hooks.reportAnswer = [this](const CallRequest &request) {
+            this->answeredTargets.push_back(request.target);
+        };
         return hooks;
     }
 
--- a/Tests/Node/TestLocalGate.cpp
+++ b/Tests/Node/TestLocalGate.cpp
@@ -41,9 +41,9 @@
 {
     GateFixture fixture;
     fixture.submit("one", CallClass::Interactive, "");
-    cr_assert(fixture.runUntil([&] { return fixture.began.size() == 1; }));
-    cr_assert(fixture.began[0].target == "/one");
-    cr_assert(findHeader(fixture.began[0].headers, "Sagecrank-Attempt") == "one");
+    cr_assert(fixture.runUntil([&] { return fixture.receivedRequests.size() == 1; }));
+    cr_assert(fixture.receivedRequests[0].target == "/one");
+    cr_assert(findHeader(fixture.receivedRequests[0].headers, "Sagecrank-Attempt") == "one");
     cr_assert(fixture.gate.inFlight() == 1);
     fixture.exchanges[0]->respond(makeResponse(200, "text/plain", "open"));
     cr_assert(fixture.runUntil([&] { return fixture.answered("one"); }));
@@ -57,7 +57,7 @@
 Test(localGate, queueIsAsLongAsTheConfigurationSays)
 {
     GateFixture fixture;
-    fixture.gate.limitQueue(1);
+    fixture.gate.setMaximumQueue(1);
     for (const char *name : {"runs", "waits", "refused"})
         fixture.submit(name, CallClass::NonIdempotent, "");
     cr_assert(fixture.answered("refused"));
@@ -73,14 +73,14 @@
     GateFixture fixture;
     fixture.submit("runs", CallClass::Interactive, "");
     fixture.submit("waits", CallClass::Interactive, "");
-    cr_assert(fixture.runUntil([&] { return fixture.began.size() == 1; }));
-    fixture.gate.withdrawWaiting();
+    cr_assert(fixture.runUntil([&] { return fixture.receivedRequests.size() == 1; }));
+    fixture.gate.refuseQueuedCalls();
     cr_assert(fixture.runUntil([&] { return fixture.answered("waits"); }));
     cr_assert(fixture.answers["waits"].outcome == Outcome::NotRun);
     cr_assert(!fixture.answered("runs"));
     fixture.exchanges[0]->respond(makeResponse(200, "text/plain", "open"));
     cr_assert(fixture.runUntil([&] { return fixture.answered("runs"); }));
-    cr_assert(fixture.answers["runs"].outcome == Outcome::Done && fixture.began.size() == 1);
+    cr_assert(fixture.answers["runs"].outcome == Outcome::Done && fixture.receivedRequests.size() == 1);
 }
 
 // The upstream leaves or is gone. The caller is told at once that its call did not run and when to come back,
@@ -94,7 +94,7 @@
     cr_assert(fixture.answers["one"].outcome == Outcome::NotRun);
     cr_assert(fixture.answers["one"].reason == row.reason);
     cr_assert(fixture.answers["one"].retryAfterMilliseconds > 0);
-    cr_assert(fixture.began.empty());
+    cr_assert(fixture.receivedRequests.empty());
 }
 
 // A second reservation with the same key arrives while the first one's fate is known, unknown, or cannot be
@@ -113,7 +113,7 @@
     cr_assert(fixture.answers["again"].outcome == row.outcome);
     cr_assert(fixture.answers["again"].status == row.status);
     cr_assert(fixture.answers["again"].replayed == row.replayed);
-    cr_assert(fixture.began.empty());
+    cr_assert(fixture.receivedRequests.empty());
     cr_assert(fixture.released.empty());
 }
 
@@ -130,7 +130,7 @@
     cr_assert(fixture.answers["late"].outcome == Outcome::NotRun);
     cr_assert(fixture.answers["late"].claimHeld);
     cr_assert(fixture.released == fixture.claimedKeys);
-    cr_assert(fixture.began.empty());
+    cr_assert(fixture.receivedRequests.empty());
 }
 
 // The gate decides that a waiting reservation starts, and the process is paused before it does. When it
@@ -141,7 +141,7 @@
     GateFixture fixture;
     fixture.submit("first", CallClass::NonIdempotent, "");
     fixture.submit("second", CallClass::NonIdempotent, "", Milliseconds(1500));
-    cr_assert(fixture.runUntil([&] { return fixture.began.size() == 1; }));
+    cr_assert(fixture.runUntil([&] { return fixture.receivedRequests.size() == 1; }));
     cr_assert(fixture.gate.queued() == 1);
     fixture.onAnswer = [&fixture] {
         fixture.onAnswer = nullptr;
@@ -152,8 +152,8 @@
     cr_assert(fixture.answers["second"].outcome == Outcome::NotRun);
     cr_assert(fixture.answers["second"].reason == "deadline_passed");
     fixture.submit("third", CallClass::NonIdempotent, "");
-    cr_assert(fixture.runUntil([&] { return fixture.began.size() == 2; }));
-    cr_assert(fixture.began[1].target == "/third");
+    cr_assert(fixture.runUntil([&] { return fixture.receivedRequests.size() == 2; }));
+    cr_assert(fixture.receivedRequests[1].target == "/third");
 }
 
 // A keyed call runs; its answer is recorded before any retry can ask for it.
@@ -162,7 +162,7 @@
     GateFixture fixture;
     fixture.submit("one", CallClass::NonIdempotent, "key-1");
     fixture.claims[0]({ClaimVerdict::Granted, {}, {}, {}});
-    cr_assert(fixture.runUntil([&] { return fixture.began.size() == 1; }));
+    cr_assert(fixture.runUntil([&] { return fixture.receivedRequests.size() == 1; }));
     fixture.exchanges[0]->respond(makeResponse(201, "text/plain", "reserved"));
     cr_assert(fixture.runUntil([&] { return fixture.answered("one"); }));
     cr_assert(fixture.recorded == fixture.claimedKeys);
@@ -176,7 +176,7 @@
     GateFixture fixture;
     fixture.submit("one", CallClass::NonIdempotent, "key-1");
     fixture.claims[0]({ClaimVerdict::Granted, {}, {}, {}});
-    cr_assert(fixture.runUntil([&] { return fixture.began.size() == 1; }));
+    cr_assert(fixture.runUntil([&] { return fixture.receivedRequests.size() == 1; }));
     fixture.upstream.closeAll();
     cr_assert(fixture.runUntil([&] { return fixture.answered("one"); }));
     cr_assert(fixture.answers["one"].outcome == Outcome::Unknown);
@@ -203,7 +203,7 @@
 {
     GateFixture fixture;
     fixture.submit("one", CallClass::Interactive, "");
-    cr_assert(fixture.runUntil([&] { return fixture.began.size() == 1; }));
+    cr_assert(fixture.runUntil([&] { return fixture.receivedRequests.size() == 1; }));
     HttpResponse shed = makeResponse(503, "text/plain", "busy");
     shed.headers.push_back({"Sagecrank-Outcome", "not-run"});
     shed.headers.push_back({"Retry-After", "2"});
@@ -220,7 +220,7 @@
     GateFixture fixture;
     fixture.submit("first", CallClass::Interactive, "");
     const auto second = fixture.submit("second", CallClass::Interactive, "");
-    cr_assert(fixture.runUntil([&] { return fixture.began.size() == 1; }));
+    cr_assert(fixture.runUntil([&] { return fixture.receivedRequests.size() == 1; }));
     cr_assert(fixture.gate.queued() == 1);
     fixture.gate.cancel(second);
     cr_assert(fixture.answers["second"].outcome == Outcome::NotRun);
@@ -228,8 +228,8 @@
     cr_assert(fixture.runUntil([&] { return fixture.answered("first"); }));
     // A third call takes the freed slot: had the second one been started, it would stand before it.
     fixture.submit("third", CallClass::Interactive, "");
-    cr_assert(fixture.runUntil([&] { return fixture.began.size() == 2; }));
-    cr_assert(fixture.began[1].target == "/third");
+    cr_assert(fixture.runUntil([&] { return fixture.receivedRequests.size() == 2; }));
+    cr_assert(fixture.receivedRequests[1].target == "/third");
     fixture.exchanges[1]->respond(makeResponse(200, "text/plain", ""));
     cr_assert(fixture.runUntil([&] { return fixture.answered("third"); }));
     cr_assert(fixture.gate.inFlight() == 0);
@@ -242,7 +242,7 @@
     GateFixture fixture;
     fixture.submit("running", CallClass::NonIdempotent, "");
     fixture.submit("waiting", CallClass::NonIdempotent, "");
-    cr_assert(fixture.runUntil([&] { return fixture.began.size() == 1; }));
+    cr_assert(fixture.runUntil([&] { return fixture.receivedRequests.size() == 1; }));
     fixture.announce(1, UpstreamCondition::Draining);
     cr_assert(fixture.runUntil([&] { return fixture.answered("waiting"); }));
     cr_assert(fixture.answers["waiting"].outcome == Outcome::NotRun);
@@ -260,7 +260,7 @@
     GateFixture fixture;
     const auto call = fixture.submit("one", CallClass::NonIdempotent, "key-1");
     fixture.claims[0]({ClaimVerdict::Granted, {}, {}, {}});
-    cr_assert(fixture.runUntil([&] { return fixture.began.size() == 1; }));
+    cr_assert(fixture.runUntil([&] { return fixture.receivedRequests.size() == 1; }));
     fixture.gate.cancel(call);
     fixture.exchanges[0]->respond(makeResponse(201, "text/plain", "reserved"));
     cr_assert(fixture.runUntil([&] { return !fixture.recorded.empty(); }));
@@ -287,7 +287,7 @@
     fixture.gate.announce({"entry", fixture.upstream.address(), 1, UpstreamCondition::Ready});
     fixture.submit("one", CallClass::Interactive, "");
     cr_assert(fixture.answers["one"].outcome == Outcome::NotRun);
-    cr_assert(fixture.began.empty());
+    cr_assert(fixture.receivedRequests.empty());
 }
 
 // An upstream sends an answer twice, the second time where the next answer is expected. Taken for that one,
@@ -296,7 +296,7 @@
 {
     GateFixture fixture;
     fixture.submit("two", CallClass::Interactive, "", Milliseconds(300));
-    cr_assert(fixture.runUntil([&] { return fixture.began.size() == 1; }));
+    cr_assert(fixture.runUntil([&] { return fixture.receivedRequests.size() == 1; }));
     HttpResponse response = makeResponse(200, "text/plain", "for one");
     response.headers.push_back({"Sagecrank-Call-Id", "one"});
     fixture.exchanges[0]->respond(std::move(response));
@@ -314,9 +314,9 @@
     cr_assert(fixture.answers["crashing"].outcome == Outcome::NotRun);
     cr_assert(fixture.answers["crashing"].status == 503);
     cr_assert(fixture.answers["crashing"].retryAfterMilliseconds == 300'000);
-    cr_assert(fixture.began.empty());
+    cr_assert(fixture.receivedRequests.empty());
     fixture.submit("other", CallClass::Interactive, "");
-    cr_assert(fixture.runUntil([&] { return fixture.began.size() == 1; }));
+    cr_assert(fixture.runUntil([&] { return fixture.receivedRequests.size() == 1; }));
 }
 
 // An upstream that ends while it runs calls: those are reported once it is seen to be gone.
@@ -326,7 +326,7 @@
     fixture.announce(3, UpstreamCondition::Ready);
     fixture.submit("one", CallClass::Interactive, "");
     fixture.submit("two", CallClass::Interactive, "");
-    cr_assert(fixture.runUntil([&] { return fixture.began.size() == 2; }));
+    cr_assert(fixture.runUntil([&] { return fixture.receivedRequests.size() == 2; }));
     for (const auto &exchange : fixture.exchanges)
         exchange->drop();
     cr_assert(fixture.runUntil([&] { return fixture.answered("one") && fixture.answered("two"); }));
@@ -343,7 +343,7 @@
 {
     GateFixture fixture;
     fixture.submit("one", CallClass::Interactive, "");
-    cr_assert(fixture.runUntil([&] { return fixture.began.size() == 1; }));
+    cr_assert(fixture.runUntil([&] { return fixture.receivedRequests.size() == 1; }));
     fixture.exchanges[0]->drop();
     cr_assert(fixture.runUntil([&] { return fixture.answered("one"); }));
     fixture.context.run_for(Milliseconds(20));
@@ -357,11 +357,11 @@
 {
     GateFixture fixture;
     fixture.submit("one", CallClass::Interactive, "");
-    cr_assert(fixture.runUntil([&] { return fixture.began.size() == 1; }));
+    cr_assert(fixture.runUntil([&] { return fixture.receivedRequests.size() == 1; }));
     fixture.exchanges[0]->drop();
     cr_assert(fixture.runUntil([&] { return fixture.answered("one"); }));
     fixture.context.run_for(Milliseconds(500));
-    UpstreamAnnouncement next = fixture.gate.announced();
+    UpstreamAnnouncement next = fixture.gate.announcement();
     next.startedAt = 1;
     fixture.gate.announce(next);
     cr_assert(fixture.crashes.empty());
@@ -372,7 +372,7 @@
 {
     GateFixture fixture;
     const auto call = fixture.submit("one", CallClass::Interactive, "");
-    cr_assert(fixture.runUntil([&] { return fixture.began.size() == 1; }));
+    cr_assert(fixture.runUntil([&] { return fixture.receivedRequests.size() == 1; }));
     fixture.gate.cancel(call);
     fixture.upstream.stopAccepting();
     fixture.exchanges[0]->drop();
@@ -393,8 +393,8 @@
         CallRequest request;
         request.cluster = "booking";
         request.remainingMicroseconds = 30000000;
-        return gate.refuseAhead({fixture.context, fixture.client}, request, Duration::zero(),
-                                [](const CallResponse &) {});
+        return gate.tryRefuseBeforeBody({fixture.context, fixture.client}, request, Duration::zero(),
+                                        [](const CallResponse &) {});
     };
     cr_assert(!ask()); // It would start.
     cr_assert(gate.running() == 0);
--- a/Tests/Node/TestPeerServer.cpp
+++ b/Tests/Node/TestPeerServer.cpp
@@ -154,7 +154,7 @@
     PeerServerFixture fixture;
     fixture.announce(4, UpstreamCondition::Ready);
     fixture.call("good");
-    cr_assert(fixture.runUntil([&] { return fixture.began.size() == 1; }));
+    cr_assert(fixture.runUntil([&] { return fixture.receivedRequests.size() == 1; }));
     cr_assert(fixture.closesAfter(row.bytes), "%s", row.what);
     cr_assert(fixture.logged.size() == 1, "%s", row.what);
     cr_assert(fixture.logged[0].find("peer.frame_invalid") != std::string::npos);
@@ -179,10 +179,11 @@
         request.attempt = name;
         fixture.link->call(request, [](const CallResponse &) {});
     }
-    cr_assert(fixture.runUntil([&] { return fixture.began.size() == 1 && fixture.gate.queued() == 1; }));
+    cr_assert(
+        fixture.runUntil([&] { return fixture.receivedRequests.size() == 1 && fixture.gate.queued() == 1; }));
     fixture.link.reset();
     cr_assert(fixture.runUntil([&] { return fixture.gate.inFlight() == 0; }));
-    cr_assert(fixture.began.size() == 1);
+    cr_assert(fixture.receivedRequests.size() == 1);
 }
 
 // A node ends while an answer to another node waits to leave, because it counts what was answered as sent.
@@ -190,7 +191,7 @@
 {
     PeerServerFixture fixture;
     fixture.call("slow");
-    cr_assert(fixture.runUntil([&] { return fixture.began.size() == 1; }));
+    cr_assert(fixture.runUntil([&] { return fixture.receivedRequests.size() == 1; }));
     cr_assert(fixture.server.unsent() == 0);
     fixture.exchanges[0]->respond(makeResponse(200, "text/plain", "well"));
     cr_assert(fixture.runUntil([&] { return fixture.gate.inFlight() == 0; }));
@@ -204,7 +205,7 @@
 {
     PeerServerFixture fixture;
     fixture.call("slow");
-    cr_assert(fixture.runUntil([&] { return fixture.began.size() == 1; }));
+    cr_assert(fixture.runUntil([&] { return fixture.receivedRequests.size() == 1; }));
     fixture.exchanges[0]->respond(makeResponse(200, "text/plain", std::string(512, 'x')));
     cr_assert(fixture.runUntil([&] { return fixture.server.unsent() == 1; }));
     fixture.link.reset();
@@ -344,10 +345,11 @@
             fixture.answers[name] = std::move(response);
         });
     }
-    cr_assert(fixture.runUntil([&] { return fixture.began.size() == 3; }), "%s", row.what);
+    cr_assert(fixture.runUntil([&] { return fixture.receivedRequests.size() == 3; }), "%s", row.what);
     for (std::size_t index = 0; index < 3; ++index) {
-        cr_assert(fixture.began[index].body == std::string(smallestGrantedBody, 'x'));
-        fixture.exchanges[index]->respond(makeResponse(200, "text/plain", fixture.began[index].target));
+        cr_assert(fixture.receivedRequests[index].body == std::string(smallestGrantedBody, 'x'));
+        fixture.exchanges[index]->respond(
+            makeResponse(200, "text/plain", fixture.receivedRequests[index].target));
     }
     cr_assert(fixture.runUntil([&] { return fixture.answers.size() == 3; }));
     for (const char *name : {"one", "two", "three"})
@@ -459,7 +461,7 @@
     request.target = "/";
     request.remainingMicroseconds = 30000000;
     sender.send(encodeFrame(FrameType::CallRequest, request));
-    cr_assert(fixture.runUntil([&] { return fixture.began.size() == 1; }));
+    cr_assert(fixture.runUntil([&] { return fixture.receivedRequests.size() == 1; }));
     fixture.exchanges[0]->respond(makeResponse(200, "text/plain", "well"));
     cr_assert(fixture.runUntil([&] { return fixture.gate.inFlight() == 0; }));
     fixture.server.goAway();
@@ -470,7 +472,7 @@
     cr_assert(fixture.server.awaitedCloses() == 1);
     sender.socket.close();
     cr_assert(fixture.runUntil([&] { return fixture.server.awaitedCloses() == 0; }));
-    cr_assert(fixture.began.size() == 1, "a call was taken after the last word");
+    cr_assert(fixture.receivedRequests.size() == 1, "a call was taken after the last word");
 }
 
 // A host that is dead, or has nothing to read, must not hold up the end of a node.
@@ -495,5 +497,5 @@
     sender.send(encodeFrame(FrameType::CallBody, CallBody{1, std::string(smallestGrantedBody, 'x')}));
     cr_assert(fixture.runUntil([&] { return sender.lastCallId.has_value(); }));
     cr_assert(sender.answers.size() == 1 && sender.answers[0].outcome == Outcome::NotRun);
-    cr_assert(fixture.began.empty() && fixture.gate.inFlight() == 0);
+    cr_assert(fixture.receivedRequests.empty() && fixture.gate.inFlight() == 0);
 }
--- a/Tests/Node/TestRequestQuarantine.cpp
+++ b/Tests/Node/TestRequestQuarantine.cpp
@@ -20,17 +20,20 @@
 public:
     void crash(const CallRequest &request)
     {
-        this->hooks.crashed(fingerprintsOf(request));
+        this->hooks.reportCrash(fingerprintsOf(request));
         this->deliver();
     }
 
     void answer(const CallRequest &request)
     {
-        this->hooks.answered(request);
+        this->hooks.reportAnswer(request);
         this->deliver();
     }
 
-    bool refuses(const CallRequest &request) const { return this->hooks.refusedFor(request).has_value(); }
+    bool refuses(const CallRequest &request) const
+    {
+        return this->hooks.remainingQuarantine(request).has_value();
+    }
 
     RcuThread thread;
     Duration passed{}; // Since the first answers.
@@ -56,7 +59,7 @@
         std::vector<Notice> all;
         for (const auto &[key, notice] : this->notices)
             all.push_back(notice);
-        this->quarantine.replace(start + this->passed, all);
+        this->quarantine.update(start + this->passed, all);
     }
 };
 
