--- a/Libraries/LibDecide/Admission.h
+++ b/Libraries/LibDecide/Admission.h
@@ -1,5 +1,5 @@
-// What admission at one upstream is asked and answers, whichever rule decides, and the hooks behind which a
-// rule stands. Runs without sockets or clocks.
+// Types of admission control at one upstream (requests, decisions, refusal reasons), and the hooks through
+// which an admission policy is called. Uses no sockets or clocks.
 #pragma once
 
 #include <LibConfig/Model.h>
@@ -18,13 +18,13 @@
 
 enum class RefusalReason : std::uint8_t {
     None,
-    Draining, // The upstream takes nothing new.
-    NotReady, // No upstream is announced, or it is gone.
+    Draining, // The upstream accepts no new calls.
+    NotReady, // No upstream is announced, or it has gone.
     QueueFull,
-    DeadlineTooNear, // It could not start and finish in time.
-    Displaced,       // A call of a class that goes first took its place in the queue.
-    DeadlinePassed,  // It waited, and its time ran out before it started.
-    TargetTooNear,   // It would be answered, but later than it is worth most; another gate may do better.
+    DeadlineTooNear, // The call could not start and finish before its deadline.
+    Displaced,       // A call of a class with higher precedence took its place in the queue.
+    DeadlinePassed,  // The deadline passed while the call was queued.
+    TargetTooNear,   // The answer would miss the latency target; another gate may meet it.
 };
 
 inline constexpr EnumNames<RefusalReason, 8> refusalReasonNames{{
@@ -40,8 +40,8 @@
 
 enum class CallOutcome : std::uint8_t {
     Succeeded,
-    Failed,    // The upstream answered with a failure of its own or broke the connection.
-    Shed,      // The upstream said that it is overloaded.
+    Failed,    // The upstream returned an error or broke the connection.
+    Shed,      // The upstream rejected the call as overloaded.
     Cancelled, // The caller gave up.
 };
 
@@ -49,11 +49,12 @@
 {
     CallClass callClass = CallClass::Interactive;
     Instant deadline;
-    // Calls of one kind run about as long as each other: a route's. Zero where kinds are not told apart.
+    // Identifies calls with similar run times, such as those of one route. Zero if calls are not told apart.
     std::uint64_t kind = 0;
-    std::uint32_t priority = 1;                   // 0 goes first.
-    std::optional<Instant> target = std::nullopt; // An answer after it is worth less to the caller.
-    bool lateAccepted = true; // There is no better place left, so a late answer is wanted too.
+    std::uint32_t priority = 1; // 0 is the highest.
+    // Latency target: a later answer is worth less to the caller.
+    std::optional<Instant> target = std::nullopt;
+    bool lateAccepted = true; // No other gate is likely to meet the target, so a late answer is accepted.
 };
 
 enum class GateVerdict : std::uint8_t { Start, Queue, Refuse };
@@ -61,25 +62,26 @@
 struct GateDecision
 {
     GateVerdict verdict = GateVerdict::Refuse;
-    Ticket ticket = 0; // Zero when refused.
+    Ticket ticket = 0; // Zero if refused.
     RefusalReason reason = RefusalReason::None;
-    Duration retryAfter{}; // When a refused caller should come back; positive whenever it is refused.
+    // How long a refused caller should wait before it retries; positive for every refusal.
+    Duration retryAfter{};
 };
 
-// What became of a call that waited.
+// The outcome of a queued call.
 struct GateAction
 {
     Ticket ticket = 0;
-    bool start = false; // Otherwise it is refused, and it did not run.
+    bool start = false; // If false, the call is refused and has not run.
     RefusalReason reason = RefusalReason::None;
     Duration retryAfter{};
 };
 
 enum class UpstreamCondition : std::uint8_t {
     NotReady, // Not announced, or gone.
-    Warming,  // Takes calls and is slow; that shows in its run times.
+    Warming,  // Accepts calls but is slower than usual, which shows in its run times.
     Ready,
-    Draining, // Finishes what it runs and takes nothing new.
+    Draining, // Finishes its running calls and accepts no new ones.
 };
 
 inline constexpr EnumNames<UpstreamCondition, 4> upstreamConditionNames{{
@@ -89,7 +91,7 @@
     {UpstreamCondition::Draining, "draining"},
 }};
 
-// One rule of admission. See Gate for what each call means.
+// Type-erased admission policy. Gate documents what each function does.
 struct AdmissionHooks
 {
     // Commands.
@@ -109,35 +111,38 @@
     std::function<Duration(Instant, const CallAttributes &)> expectedWait;
 };
 
-template <typename Rule>
-AdmissionHooks makeAdmissionHooks(std::shared_ptr<Rule> rule)
+template <typename Policy>
+AdmissionHooks makeAdmissionHooks(std::shared_ptr<Policy> policy)
 {
     AdmissionHooks hooks;
-    hooks.offer = [rule](Instant now, const CallAttributes &facts, std::vector<GateAction> &actions) {
-        return rule->offer(now, facts, actions);
+    hooks.offer = [policy](Instant now, const CallAttributes &attributes, std::vector<GateAction> &actions) {
+        return policy->offer(now, attributes, actions);
+    };
+    hooks.finish = [policy](Instant now, Ticket ticket, CallOutcome outcome,
+                            std::vector<GateAction> &actions) {
+        policy->finish(now, ticket, outcome, actions);
     };
-    hooks.finish = [rule](Instant now, Ticket ticket, CallOutcome end, std::vector<GateAction> &actions) {
-        rule->finish(now, ticket, end, actions);
+    hooks.cancel = [policy](Instant now, Ticket ticket, std::vector<GateAction> &actions) {
+        policy->cancel(now, ticket, actions);
     };
-    hooks.cancel = [rule](Instant now, Ticket ticket, std::vector<GateAction> &actions) {
-        rule->cancel(now, ticket, actions);
+    hooks.advance = [policy](Instant now, std::vector<GateAction> &actions) {
+        policy->advance(now, actions);
     };
-    hooks.advance = [rule](Instant now, std::vector<GateAction> &actions) { rule->advance(now, actions); };
-    hooks.setState = [rule](Instant now, UpstreamCondition condition, std::uint32_t slots,
-                            std::vector<GateAction> &actions) {
-        rule->setState(now, condition, slots, actions);
+    hooks.setState = [policy](Instant now, UpstreamCondition condition, std::uint32_t slots,
+                              std::vector<GateAction> &actions) {
+        policy->setState(now, condition, slots, actions);
     };
-    hooks.setMaximumQueue = [rule](std::uint32_t most) { rule->setMaximumQueue(most); };
-    hooks.wouldAdmit = [rule](Instant now, const CallAttributes &facts) {
-        return rule->wouldAdmit(now, facts);
+    hooks.setMaximumQueue = [policy](std::uint32_t maximumQueue) { policy->setMaximumQueue(maximumQueue); };
+    hooks.wouldAdmit = [policy](Instant now, const CallAttributes &attributes) {
+        return policy->wouldAdmit(now, attributes);
     };
-    hooks.nextDeadline = [rule] { return rule->nextDeadline(); };
-    hooks.freeSlots = [rule] { return rule->freeSlots(); };
-    hooks.queued = [rule] { return rule->queued(); };
-    hooks.running = [rule] { return rule->running(); };
-    hooks.condition = [rule] { return rule->condition(); };
-    hooks.expectedWait = [rule](Instant now, const CallAttributes &facts) {
-        return rule->expectedWait(now, facts);
+    hooks.nextDeadline = [policy] { return policy->nextDeadline(); };
+    hooks.freeSlots = [policy] { return policy->freeSlots(); };
+    hooks.queued = [policy] { return policy->queued(); };
+    hooks.running = [policy] { return policy->running(); };
+    hooks.condition = [policy] { return policy->condition(); };
+    hooks.expectedWait = [policy](Instant now, const CallAttributes &attributes) {
+        return policy->expectedWait(now, attributes);
     };
     return hooks;
 }
--- a/Libraries/LibDecide/BodyGrants.cpp
+++ b/Libraries/LibDecide/BodyGrants.cpp
@@ -1,30 +1,30 @@
-// Counting the bytes that are under way, and the line of those that wait.
+// Tracks granted bytes in flight and the queue of waiting bodies.
 #include <LibDecide/BodyGrants.h>
 
 #include <algorithm>
 
 namespace Sagecrank {
 
-BodyGrantResult BodyGrants::request(Instant now, BodyId name, std::uint64_t bytes, std::uint32_t priority)
+BodyGrantResult BodyGrants::request(Instant now, BodyId id, std::uint64_t bytes, std::uint32_t priority)
 {
     if (!this->isLimited())
         return BodyGrantResult::Granted;
-    const Body body{name, bytes, priority, now};
-    if (this->line.empty() && this->fits(bytes)) {
+    const Body body{id, bytes, priority, now};
+    if (this->queue.empty() && this->fits(bytes)) {
         this->grant(now, body);
         return BodyGrantResult::Granted;
     }
-    if (this->line.size() >= this->settings.maximumQueued)
+    if (this->queue.size() >= this->settings.maximumQueued)
         return BodyGrantResult::QueueFull;
-    const auto place = std::ranges::upper_bound(this->line, priority, {}, &Body::priority);
-    this->line.insert(place, body);
+    const auto position = std::ranges::upper_bound(this->queue, priority, {}, &Body::priority);
+    this->queue.insert(position, body);
     return BodyGrantResult::Queued;
 }
 
-void BodyGrants::release(BodyId name)
+void BodyGrants::release(BodyId id)
 {
-    std::erase_if(this->line, [name](const Body &body) { return body.name == name; });
-    const auto found = std::ranges::find(this->granted, name, &Body::name);
+    std::erase_if(this->queue, [id](const Body &body) { return body.id == id; });
+    const auto found = std::ranges::find(this->granted, id, &Body::id);
     if (found == this->granted.end())
         return;
     this->grantedBytes -= found->bytes;
@@ -34,14 +34,14 @@
 std::vector<BodyGrants::BodyId> BodyGrants::advance(Instant now)
 {
     while (!this->granted.empty() && this->granted.front().expires <= now)
-        this->release(this->granted.front().name);
-    std::vector<BodyId> turns;
-    while (!this->line.empty() && this->fits(this->line.front().bytes)) {
-        turns.push_back(this->line.front().name);
-        this->grant(now, this->line.front());
-        this->line.erase(this->line.begin());
+        this->release(this->granted.front().id);
+    std::vector<BodyId> newlyGranted;
+    while (!this->queue.empty() && this->fits(this->queue.front().bytes)) {
+        newlyGranted.push_back(this->queue.front().id);
+        this->grant(now, this->queue.front());
+        this->queue.erase(this->queue.begin());
     }
-    return turns;
+    return newlyGranted;
 }
 
 Duration BodyGrants::transferTime(std::uint64_t bytes) const
@@ -54,12 +54,12 @@
 
 Duration BodyGrants::expectedDelay(std::uint64_t bytes, std::uint32_t priority) const
 {
-    std::uint64_t before = this->grantedBytes + bytes;
-    for (const Body &body : this->line) {
+    std::uint64_t bytesAhead = this->grantedBytes + bytes;
+    for (const Body &body : this->queue) {
         if (body.priority <= priority)
-            before += body.bytes;
+            bytesAhead += body.bytes;
     }
-    return this->transferTime(before);
+    return this->transferTime(bytesAhead);
 }
 
 std::optional<Instant> BodyGrants::nextExpiry() const
@@ -69,7 +69,7 @@
     return this->granted.front().expires;
 }
 
-// One body always fits: it may be larger than what the link carries ahead.
+// A single body is always admitted, since it may be larger than the in-flight limit.
 bool BodyGrants::fits(std::uint64_t bytes) const
 {
     return this->granted.empty()
@@ -79,8 +79,8 @@
 void BodyGrants::grant(Instant now, Body body)
 {
     body.expires = now + this->settings.grantLifetime + this->transferTime(body.bytes);
-    const auto place = std::ranges::upper_bound(this->granted, body.expires, {}, &Body::expires);
-    this->granted.insert(place, body);
+    const auto position = std::ranges::upper_bound(this->granted, body.expires, {}, &Body::expires);
+    this->granted.insert(position, body);
     this->grantedBytes += body.bytes;
 }
 
--- a/Libraries/LibDecide/ConcurrencyLimit.cpp
+++ b/Libraries/LibDecide/ConcurrencyLimit.cpp
@@ -7,58 +7,58 @@
 
 namespace {
 
-// A shed takes this share of the limit away. Load: an upstream that bears less than it announced. Harm: each
-// call it sheds cost a transfer and a slot for nothing. A third less finds the level in a few steps and
-// leaves most of the capacity in use when the shed was a passing one.
-constexpr double decrease = 0.7;
+// Factor applied to the limit after a shed call. Each call shed by an upstream that bears less than it
+// announced costs a transfer and a slot for nothing. A decrease by a third finds the right level in a few
+// steps and leaves most of the capacity in use if the overload was transient.
+constexpr double decreaseFactor = 0.7;
 
-// A round of successes adds a tenth of a slot. Load: an upstream that goes on bearing less than it announced.
-// Harm of a whole slot: every other round sheds a call, which may have waited in vain.
-constexpr double increase = 0.1;
+// Slots added per round of successes. With a whole slot, an upstream that stays below its announced slots
+// would shed a call, which may have waited, in every other round.
+constexpr double increasePerRound = 0.1;
 
 } // namespace
 
 ConcurrencyLimit::ConcurrencyLimit(std::uint32_t slots)
-    : announced(slots)
-    , current(std::max(1U, slots))
+    : announcedSlots(slots)
+    , currentLimit(std::max(1U, slots))
 {
 }
 
 void ConcurrencyLimit::setSlots(std::uint32_t slots)
 {
-    if (slots == this->announced)
+    if (slots == this->announcedSlots)
         return;
-    const bool wasFull = this->current >= this->announced;
-    this->announced = slots;
-    const double top = std::max(1U, slots);
-    this->current = wasFull ? top : std::min(this->current, top);
+    const bool wasFull = this->currentLimit >= this->announcedSlots;
+    this->announcedSlots = slots;
+    const double maximum = std::max(1U, slots);
+    this->currentLimit = wasFull ? maximum : std::min(this->currentLimit, maximum);
 }
 
-void ConcurrencyLimit::recordSuccess(bool busy)
+void ConcurrencyLimit::recordSuccess(bool atLimit)
 {
-    if (!busy)
+    if (!atLimit)
         return;
-    const double top = std::max(1U, this->announced);
-    this->current = std::min(top, this->current + increase / this->current);
+    const double maximum = std::max(1U, this->announcedSlots);
+    this->currentLimit = std::min(maximum, this->currentLimit + increasePerRound / this->currentLimit);
 }
 
 void ConcurrencyLimit::recordShed(Instant now, Duration runTime)
 {
-    // The calls of one round shed together; they are one piece of news, not several.
-    if (this->loweredAt != Instant::min() && now - this->loweredAt < runTime)
+    // Calls that ran at the same time are shed together, so they count as one overload signal.
+    if (this->lastDecreaseAt != Instant::min() && now - this->lastDecreaseAt < runTime)
         return;
-    this->loweredAt = now;
-    this->current = std::max(1.0, this->current * decrease);
+    this->lastDecreaseAt = now;
+    this->currentLimit = std::max(1.0, this->currentLimit * decreaseFactor);
 }
 
 std::uint32_t ConcurrencyLimit::value() const
 {
-    return std::min(this->announced, static_cast<std::uint32_t>(this->current));
+    return std::min(this->announcedSlots, static_cast<std::uint32_t>(this->currentLimit));
 }
 
 std::uint32_t ConcurrencyLimit::slots() const
 {
-    return this->announced;
+    return this->announcedSlots;
 }
 
 } // namespace Sagecrank
--- a/Libraries/LibDecide/ConcurrencyLimit.h
+++ b/Libraries/LibDecide/ConcurrencyLimit.h
@@ -1,5 +1,5 @@
-// How many calls an upstream is given at once. Its announced slots are the upper bound; how many it bears is
-// found from its answers, since the announcement can mislead.
+// Adaptive concurrency limit of one upstream. The announced slots are the upper bound; the actual limit is
+// learned from the upstream's answers, since the announced number can be wrong.
 #pragma once
 
 #include <LibCore/Time.h>
@@ -16,10 +16,10 @@
     // Commands.
 
     void setSlots(std::uint32_t slots);
-    // `busy` says that the limit was reached while the call ran; otherwise it proves nothing about more
-    // calls.
-    void recordSuccess(bool busy);
-    // The upstream said that it is overloaded.
+    // `atLimit` says that the limit was reached while the call ran. Otherwise the success does not show that
+    // the upstream can take more calls.
+    void recordSuccess(bool atLimit);
+    // The upstream rejected a call as overloaded.
     void recordShed(Instant now, Duration runTime);
 
     // Queries.
@@ -28,9 +28,9 @@
     std::uint32_t slots() const;
 
 private:
-    std::uint32_t announced;
-    double current; // Invariant: 1 <= current <= max(1, announced).
-    Instant loweredAt = Instant::min();
+    std::uint32_t announcedSlots;
+    double currentLimit; // Invariant: 1 <= currentLimit <= max(1, announcedSlots).
+    Instant lastDecreaseAt = Instant::min();
 };
 
 } // namespace Sagecrank
--- a/Libraries/LibDecide/CrashQuarantine.h
+++ b/Libraries/LibDecide/CrashQuarantine.h
@@ -1,9 +1,9 @@
-// Keeps requests away from upstreams that they crash.
+// Quarantine for requests that crash upstreams.
 //
-// Load: one request ends each upstream that runs it, and its caller sends it again, through any node. Harm:
-// the service is down for everybody for as long as the caller tries. A gate that sees its upstream crash
-// reports the requests that ran there; once a request has been running at several crashes, and was answered
-// nowhere since, all nodes refuse it for a while.
+// A single request that crashes every upstream it runs on, and that its caller retries through any node, can
+// take a service down for everybody for as long as the caller retries. A gate that sees its upstream crash
+// reports the requests that were running there. Once a request was running at several crashes and has not
+// been answered anywhere since, all nodes refuse it for a while.
 #pragma once
 
 #include <LibCore/EnumNames.h>
@@ -18,13 +18,13 @@
 
 namespace Sagecrank {
 
-// Names a request by what makes it the same one when it is sent again.
+// Identifies a request across retries.
 using RequestFingerprint = std::uint64_t;
 
-// A later one is stronger.
+// When reports are merged, the greater value wins.
 enum class CrashReportState : std::uint8_t {
-    Crashed, // The upstream ended while it ran the request.
-    Cleared, // The request was answered afterwards, so it was running there by chance.
+    Crashed, // The upstream crashed while it ran the request.
+    Cleared, // The request was answered later, so it is not the cause of the crash.
 };
 
 inline constexpr EnumNames<CrashReportState, 2> crashReportStateNames{{
@@ -32,43 +32,44 @@
     {CrashReportState::Cleared, "cleared"},
 }};
 
-// One request at one crash.
+// Says that a request was running when an upstream crashed.
 struct CrashReport
 {
     RequestFingerprint request = 0;
-    std::uint64_t crash = 0; // Unique to the crash.
+    std::uint64_t crash = 0; // Identifies the crash.
     CrashReportState state = CrashReportState::Crashed;
-    Instant expiresAt; // Forgotten then.
+    Instant expiresAt; // When the report is dropped.
 };
 
-// By chance a request runs at one crash that others caused, and rarely at two.
+// A request that is not the cause may be running at one crash, but rarely at two.
 inline constexpr std::size_t crashesToQuarantine = 3;
 
-// How long a crash is held against a request: longer than a caller tries again, shorter than a repair of the
-// service takes to be installed.
+// How long a crash counts against a request: longer than callers keep retrying, but shorter than it takes to
+// deploy a fix of the service.
 inline constexpr Duration crashReportLifetime = std::chrono::minutes(10);
 
-// For how long before a crash an answer counts. A request that begins to crash upstreams only then is told by
-// the crashes that come later.
+// An answer within this time before a crash clears the request. A request that starts to crash upstreams only
+// then is found by the following crashes.
 inline constexpr Duration recentAnswerWindow = std::chrono::seconds(10);
 
-// What all reports together say. Immutable, so that request threads share it.
+// The quarantine that follows from all reports. Immutable, so that request threads can share it.
 class CrashQuarantine
 {
 public:
     explicit CrashQuarantine(std::span<const CrashReport> reports);
 
-    // Until when the request is refused; nothing when it is not.
+    // When the quarantine of the request ends; nothing if it is not quarantined.
     std::optional<Instant> refusedUntil(RequestFingerprint request, Instant now) const;
     std::vector<RequestFingerprint> refusedRequests() const;
 
 private:
-    // When each crash that was not cleared is forgotten, the last one first.
-    std::unordered_map<RequestFingerprint, std::vector<Instant>> suspicions;
+    // Expiry times of the uncleared crashes of each request, latest first.
+    std::unordered_map<RequestFingerprint, std::vector<Instant>> crashExpiries;
 };
 
-// Which requests were answered lately. What many send runs at every crash, and once it is refused everywhere
-// no answer can clear it any more. Bounded: of two that share a place the later one stays. Not thread-safe.
+// Requests that were answered recently. A request that many callers send is running at every crash, and once
+// it was refused everywhere no answer could clear it any more. Fixed size: on a slot collision the later
+// answer replaces the earlier one. Not thread-safe.
 class RecentAnswers
 {
 public:
@@ -82,40 +83,38 @@
         Instant at{};
     };
 
-    static constexpr std::size_t places = 4096;
-    std::vector<Answer> answers = std::vector<Answer>(places);
+    static constexpr std::size_t capacity = 4096;
+    std::vector<Answer> answers = std::vector<Answer>(capacity);
 };
 
-// Tells an upstream's crash from a connection that broke for another reason. A broken connection alone proves
-// nothing: it counts once the upstream refuses connections or another start of it is there, and not when the
-// same upstream answers a later call. One stands for one gate; not thread-safe.
+// Distinguishes a crash of the upstream from a connection that broke for another reason. A broken connection
+// counts as a crash only if the upstream then refuses connections or announces itself with a new start; it is
+// discarded if the same upstream answers a later call. There is one detector for each gate. Not thread-safe.
 class CrashDetector
 {
 public:
     // Commands.
 
-    // The connection of a call that ran broke before its answer.
+    // The connection of a running call broke before its answer.
     void recordBrokenConnection(Instant now, RequestFingerprint request);
-    // An answer came to what was sent at `sent`, be it a call or only a connection.
+    // The upstream answered a call, or accepted a connection, that was sent at `sent`.
     void recordAnswer(Instant sent);
-    // The upstream has ended. Returns the requests that ran there, each once.
+    // The upstream has exited. Returns the distinct requests that were running there.
     std::vector<RequestFingerprint> recordUpstreamExit(Instant now);
 
     // Queries.
 
-    bool hasUnexplainedBreaks() const
-    {
-        return !this->breaks.empty();
-    } // Breaks that nothing has explained yet.
+    // Whether broken connections wait for an explanation.
+    bool hasUnexplainedBreaks() const { return !this->brokenConnections.empty(); }
 
 private:
-    struct Break
+    struct BrokenConnection
     {
         RequestFingerprint request;
         Instant at;
     };
 
-    std::vector<Break> breaks;
+    std::vector<BrokenConnection> brokenConnections;
 };
 
 } // namespace Sagecrank
--- a/Libraries/LibDecide/Gate.h
+++ b/Libraries/LibDecide/Gate.h
@@ -1,5 +1,6 @@
-// The gate of one upstream: which calls start now, which wait, which are refused. Only the node beside the
-// upstream holds its gate, so slots, queue and drain are exact here. Runs without sockets or clocks.
+// Admission control of one upstream by call class: decides which calls start now, which are queued and which
+// are refused. Only the node next to the upstream holds its gate, so the counts of slots and queued calls are
+// exact. Uses no sockets or clocks.
 #pragma once
 
 #include <LibDecide/Admission.h>
@@ -19,40 +20,43 @@
 struct GateSettings
 {
     std::uint32_t slots = 1;
-    std::uint32_t maximumQueue = 256; // Bounds memory; deadlines bound the queue before it does.
-    std::uint64_t jitterSeed = 1; // Differs from gate to gate, so that their refused callers do not agree.
+    std::uint32_t maximumQueue = 256; // Bounds memory; deadlines usually keep the queue shorter.
+    // Different for each gate, so that retries of callers refused by different gates do not synchronise.
+    std::uint64_t jitterSeed = 1;
 };
 
-// Not thread-safe. A new gate is NotReady until setState says otherwise. Every ticket that offer() gave out
-// ends exactly once: by finish() after it started, by cancel() while it waits, or by a refusing GateAction.
+// Not thread-safe. A new gate is NotReady until setState() is called. Every ticket that offer() returns ends
+// exactly once: by finish() after it started, by cancel() while it is queued, or by a refusing GateAction.
 class Gate
 {
 public:
     explicit Gate(GateSettings settings);
 
-    // Commands. Each appends to `actions` the calls that start or are refused because of it, never the
-    // call it is about.
+    // Commands. Each appends to `actions` the other calls that it causes to start or to be refused, never the
+    // call it was made for.
 
-    // A call of a class that goes first may displace a queued batch call; that one is in `actions`.
-    GateDecision offer(Instant now, const CallAttributes &facts, std::vector<GateAction> &actions);
-    // Frees the slot of a started call. An unknown ticket is ignored.
-    void finish(Instant now, Ticket ticket, CallOutcome end, std::vector<GateAction> &actions);
-    // Takes a queued call out whose caller gave up. Does nothing to a started one: its slot is taken until
+    // Admits, queues or refuses a call. A call of a class with higher precedence may displace a queued batch
+    // call, which is then in `actions`.
+    GateDecision offer(Instant now, const CallAttributes &attributes, std::vector<GateAction> &actions);
+    // Frees the slot of a started call. Unknown tickets are ignored.
+    void finish(Instant now, Ticket ticket, CallOutcome outcome, std::vector<GateAction> &actions);
+    // Removes a queued call whose caller gave up. Does nothing to a started call, which holds its slot until
     // finish().
     void cancel(Instant now, Ticket ticket, std::vector<GateAction> &actions);
-    // Refuses queued calls that cannot be answered in time any more.
+    // Refuses queued calls that can no longer be answered before their deadline.
     void advance(Instant now, std::vector<GateAction> &actions);
-    // NotReady and Draining refuse the queue at once; running calls finish.
+    // NotReady and Draining refuse all queued calls at once; running calls finish.
     void setState(Instant now, UpstreamCondition condition, std::uint32_t slots,
                   std::vector<GateAction> &actions);
 
-    // For calls that come from now on; those that wait stay.
+    // Applies to new calls; queued calls stay.
     void setMaximumQueue(std::uint32_t maximumQueue);
 
     // Queries.
 
-    // What offer() would say now, without taking a place. Asked before an idempotency key is claimed.
-    bool wouldAdmit(Instant now, const CallAttributes &facts) const;
+    // Whether offer() would admit or queue the call now, without doing so. Asked before an idempotency key is
+    // claimed.
+    bool wouldAdmit(Instant now, const CallAttributes &attributes) const;
     std::uint32_t running() const;
     std::uint32_t queued() const;
     std::uint32_t freeSlots() const;
@@ -60,57 +64,59 @@
     UpstreamCondition condition() const;
     Duration expectedRunTime(CallClass callClass) const;
     Duration expectedWait(Instant now, CallClass callClass) const;
-    Duration expectedWait(Instant now, const CallAttributes &facts) const
+    Duration expectedWait(Instant now, const CallAttributes &attributes) const
     {
-        return this->expectedWait(now, facts.callClass);
+        return this->expectedWait(now, attributes.callClass);
     }
     std::optional<Instant> nextDeadline() const; // When advance() must be called next.
 
 private:
     static constexpr std::size_t classCount = 3;
 
-    struct Waiting
+    struct QueuedCall
     {
         Ticket ticket = 0;
         Instant deadline;
     };
 
-    struct Running
+    struct RunningCall
     {
         Ticket ticket = 0;
         CallClass callClass = CallClass::Interactive;
         Instant startedAt;
-        Duration charged{}; // Slot time that was charged to its class when it started.
+        Duration chargedSlotTime{}; // Slot time that was charged to its class at the start.
     };
 
-    std::deque<Waiting> &queueOf(CallClass callClass);
-    const std::deque<Waiting> &queueOf(CallClass callClass) const;
-    bool takesCalls() const;
+    std::deque<QueuedCall> &queueOf(CallClass callClass);
+    const std::deque<QueuedCall> &queueOf(CallClass callClass) const;
+    bool acceptsCalls() const;
     std::uint32_t runningOf(CallClass callClass) const;
-    bool batchMayStart(Instant now) const;
+    bool mayStartBatch(Instant now) const;
     bool mayStartNow(Instant now, CallClass callClass) const;
-    bool inTime(Instant now, const CallAttributes &facts, Duration wait) const;
-    RefusalReason refusal(Instant now, const CallAttributes &facts) const;
+    bool meetsDeadline(Instant now, const CallAttributes &attributes, Duration wait) const;
+    RefusalReason refusal(Instant now, const CallAttributes &attributes) const;
     GateDecision refuse(Instant now, CallClass callClass, RefusalReason reason);
     Duration retryAfter(Instant now, CallClass callClass, RefusalReason reason);
-    Duration jittered(Duration span);
-    void begin(Instant now, Ticket ticket, CallClass callClass);
+    Duration jittered(Duration duration);
+    void start(Instant now, Ticket ticket, CallClass callClass);
     std::optional<CallClass> nextClass(Instant now) const;
-    void startWaiting(Instant now, std::vector<GateAction> &actions);
-    void displaceBatch(Instant now, std::vector<GateAction> &actions);
-    void refuseQueue(Instant now, RefusalReason reason, std::vector<GateAction> &actions);
+    void startQueuedCalls(Instant now, std::vector<GateAction> &actions);
+    void displaceNewestBatchCall(Instant now, std::vector<GateAction> &actions);
+    void refuseQueuedCalls(Instant now, RefusalReason reason, std::vector<GateAction> &actions);
 
     GateSettings settings;
     UpstreamCondition state = UpstreamCondition::NotReady;
     ConcurrencyLimit limit;
     RunTimes runTimes;
     Ticket nextTicket = 1;
-    std::vector<Running> runningCalls; // None starts above the limit; a lowered one cuts none off.
-    std::array<std::deque<Waiting>, classCount> queues; // In order of arrival.
+    // No call starts above the limit; lowering the limit cuts none off.
+    std::vector<RunningCall> runningCalls;
+    std::array<std::deque<QueuedCall>, classCount> queues; // One for each class, in order of arrival.
     SlotShares shares;
-    Instant othersSeenAt = Instant::min(); // When a call that is not batch was last offered.
-    Instant fullAt = Instant::min();       // When the limit was last in use to the full.
-    Instant nextReturn = Instant::min();   // When the next refused caller is told to come back.
+    // When a call of another class than batch was last offered.
+    Instant lastNonBatchOfferAt = Instant::min();
+    Instant lastSaturatedAt = Instant::min(); // When the concurrency limit was last reached.
+    Instant nextRetryAt = Instant::min();     // The latest retry time given to a refused caller.
     std::uint64_t jitterState;
 };
 
--- a/Libraries/LibDecide/Retry.cpp
+++ b/Libraries/LibDecide/Retry.cpp
@@ -1,4 +1,4 @@
-// Retry budget, hedging delay and the rule for sending again.
+// Retry safety, the retry budget and the hedging delay.
 #include <LibDecide/Retry.h>
 
 #include <algorithm>
@@ -8,23 +8,23 @@
 
 namespace {
 
-// First tries count towards the budget for about this long.
-constexpr double budgetWindow = 10.0;
+// Time constant with which first attempts lose their weight in the budget.
+constexpr double budgetWindowSeconds = 10.0;
 
 // A twentieth of the window.
 constexpr Duration sliceLength = std::chrono::milliseconds(500);
 
-// Latency buckets grow by a tenth from 10 microseconds; 160 of them reach 40 seconds.
-constexpr double firstBucket = 1e-5;
+// Buckets start at 10 microseconds and grow by 10%; 160 of them reach 40 seconds.
+constexpr double firstBucketSeconds = 1e-5;
 constexpr double bucketGrowth = 1.1;
 
 constexpr double hedgeQuantile = 0.95;
 
-// Below this many answers the 95th percentile is a single observation.
-constexpr float fewestObservations = 40;
+// With fewer observations, the 95th percentile would be a single one.
+constexpr float minimumObservations = 40;
 
-// Every so many answers the older ones lose half of their weight.
-constexpr std::uint32_t observationsPerFade = 500;
+// After this many observations, the weight of all earlier ones is halved.
+constexpr std::uint32_t observationsPerDecay = 500;
 
 } // namespace
 
@@ -45,9 +45,10 @@
 void RetryBudget::recordFirstAttempt(Instant now)
 {
     this->refill(now);
-    this->recentTries += 1;
-    this->sliceAt(now).firstTries += 1;
-    this->tokens = std::min(this->tokens + this->share, this->reserve + this->share * this->recentTries);
+    this->recentFirstAttempts += 1;
+    this->sliceAt(now).firstAttempts += 1;
+    this->tokens =
+        std::min(this->tokens + this->share, this->reserve + this->share * this->recentFirstAttempts);
 }
 
 bool RetryBudget::tryAcquireRetry(Instant now)
@@ -72,38 +73,38 @@
 bool RetryBudget::windowAllows(Instant now)
 {
     const std::int64_t newest = now.time_since_epoch() / sliceLength;
-    double firstTries = 0;
+    double firstAttempts = 0;
     double retries = 0;
     for (const Slice &slice : this->slices) {
         if (slice.number <= newest - static_cast<std::int64_t>(sliceCount))
             continue;
-        firstTries += slice.firstTries;
+        firstAttempts += slice.firstAttempts;
         retries += slice.retries;
     }
-    return retries + 1 <= this->reserve + this->share * firstTries;
+    return retries + 1 <= this->reserve + this->share * firstAttempts;
 }
 
-// Unused budget fades with the first tries that earned it; the reserve comes back once a window.
+// Unused tokens decay with the first attempts that earned them; the reserve is replenished once per window.
 void RetryBudget::refill(Instant now)
 {
     const Instant from = this->refilledAt.value_or(now);
     const double elapsed = std::max(0.0, std::chrono::duration<double>(now - from).count());
     this->refilledAt = now;
-    this->recentTries *= std::exp(-elapsed / budgetWindow);
-    const double top = this->reserve + this->share * this->recentTries;
-    this->tokens = std::min(this->tokens + this->reserve * elapsed / budgetWindow, top);
+    this->recentFirstAttempts *= std::exp(-elapsed / budgetWindowSeconds);
+    const double maximum = this->reserve + this->share * this->recentFirstAttempts;
+    this->tokens = std::min(this->tokens + this->reserve * elapsed / budgetWindowSeconds, maximum);
 }
 
-void HedgeDelay::observe(Duration took)
+void HedgeDelay::observe(Duration latency)
 {
-    const double seconds = std::max(firstBucket, std::chrono::duration<double>(took).count());
-    const double position = std::log(seconds / firstBucket) / std::log(bucketGrowth);
+    const double seconds = std::max(firstBucketSeconds, std::chrono::duration<double>(latency).count());
+    const double position = std::log(seconds / firstBucketSeconds) / std::log(bucketGrowth);
     const auto bucket = std::min(bucketCount - 1, static_cast<std::size_t>(position));
     this->counts[bucket] += 1;
     this->total += 1;
-    if (++this->sinceFade < observationsPerFade)
+    if (++this->observationsSinceDecay < observationsPerDecay)
         return;
-    this->sinceFade = 0;
+    this->observationsSinceDecay = 0;
     this->total /= 2;
     for (float &count : this->counts)
         count /= 2;
@@ -111,13 +112,13 @@
 
 std::optional<Duration> HedgeDelay::delay() const
 {
-    if (this->total < fewestObservations)
+    if (this->total < minimumObservations)
         return std::nullopt;
     double below = 0;
     std::size_t bucket = 0;
     while (bucket + 1 < bucketCount && below + this->counts[bucket] < hedgeQuantile * this->total)
         below += this->counts[bucket++];
-    const double upperEdge = firstBucket * std::pow(bucketGrowth, static_cast<double>(bucket + 1));
+    const double upperEdge = firstBucketSeconds * std::pow(bucketGrowth, static_cast<double>(bucket + 1));
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(upperEdge));
 }
 
--- a/Libraries/LibDecide/Retry.h
+++ b/Libraries/LibDecide/Retry.h
@@ -1,4 +1,4 @@
-// Which calls may be sent again, how many, and when a second copy is sent early.
+// Retry safety, the retry budget and the hedging delay.
 #pragma once
 
 #include <LibCore/Time.h>
@@ -12,19 +12,20 @@
 
 // How far a call got before it failed.
 enum class CallPhase : std::uint8_t {
-    NotSent,   // No byte of it left.
-    MaybeSent, // It may have reached the upstream, and it may have run.
+    NotSent,   // No byte of it was sent.
+    MaybeSent, // It may have reached the upstream and may have run.
     Answered,
 };
 
-// Failure: a call breaks off and its caller's node does not know how far it got. Symptom of sending it again:
-// a reservation runs twice. Sending again is safe in three cases only: nothing left the node, the peer proved
-// that it did not run, or running twice does no harm.
+// Whether a failed call may be sent again without the risk that it runs twice. After a broken connection, the
+// caller's node does not know how far the call got; sending a reservation again could execute it twice. A
+// retry is safe only if nothing was sent, if the peer proved that the call did not run, or if the call is
+// idempotent.
 bool isRetrySafe(CallPhase phase, bool idempotent, bool refusedNotRun);
 
-// Load: an upstream or zone fails, and every call to it is tried again. Harm: the retries double the load on
-// what is left, which then fails too. Retries stay within a share of recent first tries, so that they add at
-// most that share to the load; the reserve lets a quiet caller retry at all.
+// Bounds retries to a share of recent first attempts. If an upstream or a zone fails and every call to it is
+// retried, the retries would double the load on the rest, which then fails too. The reserve allows callers
+// with few calls to retry at all.
 class RetryBudget
 {
 public:
@@ -33,23 +34,23 @@
     // Commands.
 
     void recordFirstAttempt(Instant now);
-    // Takes one retry out of the budget; false when there is none.
+    // Takes one retry from the budget; returns false if there is none.
     bool tryAcquireRetry(Instant now);
 
-    // For an allowance that several nodes share: this node's part of it, which changes with their number.
+    // Sets this node's part of a reserve that several nodes share; it changes with their number.
     void setReserve(double reserve) { this->reserve = reserve; }
 
 private:
-    // A part of the window, with what happened in it.
+    // Attempts in a part of the window.
     struct Slice
     {
-        std::int64_t number = -1; // Of the slice since the clock's epoch.
-        std::uint32_t firstTries = 0;
+        std::int64_t number = -1; // Counted from the epoch of the clock.
+        std::uint32_t firstAttempts = 0;
         std::uint32_t retries = 0;
     };
 
     static constexpr std::size_t sliceCount =
-        21; // One more than a window has: the first counts only in part.
+        21; // One more than a window has, since the oldest one lies only partly within it.
 
     void refill(Instant now);
     Slice &sliceAt(Instant now);
@@ -57,35 +58,35 @@
 
     double share;
     double reserve;
-    double tokens; // Invariant: 0 <= tokens <= reserve + share of the first tries of a window.
-    double recentTries = 0;
+    double tokens; // Invariant: 0 <= tokens <= reserve + share of the recent first attempts.
+    double recentFirstAttempts = 0;
     std::optional<Instant> refilledAt;
-    // Failure: tokens that were saved up in one window are spent in the next, on top of what that one earns.
-    // Symptom: for a while retries are twice their share. The slices bound those of every window as well.
+    // Bounds the retries of every window as well: tokens saved up in one window and spent in the next, on top
+    // of what that one earns, would double the share of retries for a while.
     std::array<Slice, sliceCount> slices;
 };
 
-// Load: one upstream in many is slow, or one answer is lost. Harm: its callers wait while others stand idle.
-// A second copy after the 95th percentile of recent latencies catches these and adds at most one call in
-// twenty. Only for idempotent calls.
+// Delay after which a hedged second attempt is sent. If one of many upstreams is slow, or an answer is lost,
+// callers wait while other upstreams are idle. A second attempt after the 95th percentile of recent latencies
+// covers these cases and adds at most one call in twenty. Only for idempotent calls.
 class HedgeDelay
 {
 public:
     // Commands.
 
-    void observe(Duration took);
+    void observe(Duration latency);
 
     // Queries.
 
-    // Empty until enough answers were seen to tell what is late.
+    // Empty until there are enough observations.
     std::optional<Duration> delay() const;
 
 private:
     static constexpr std::size_t bucketCount = 160;
 
-    std::array<float, bucketCount> counts{}; // Latencies by logarithmic bucket; old ones fade.
+    std::array<float, bucketCount> counts{}; // Latencies by logarithmic bucket; older ones decay.
     float total = 0;
-    std::uint32_t sinceFade = 0;
+    std::uint32_t observationsSinceDecay = 0;
 };
 
 } // namespace Sagecrank
--- a/Libraries/LibDecide/RetryMatcher.cpp
+++ b/Libraries/LibDecide/RetryMatcher.cpp
@@ -1,4 +1,4 @@
-// Matching calls to refusals by the moment at which their callers give up.
+// Matches calls to earlier refusals by their deadlines.
 #include <LibDecide/RetryMatcher.h>
 
 #include <algorithm>
@@ -10,42 +10,44 @@
 
 using namespace std::chrono_literals;
 
-// The way from a caller differs by some milliseconds from try to try, a new connection takes a round trip,
-// and deadlines are stated in whole milliseconds.
-constexpr Duration tolerance = 15ms;
+// Network latency differs by some milliseconds between attempts, a new connection adds a round trip, and
+// deadlines are sent in whole milliseconds.
+constexpr Duration deadlineTolerance = 15ms;
 
-// Of one kind; 100 calls a second that are refused at one node and may come back for seconds.
-constexpr std::size_t mostOfKind = 512;
-constexpr std::size_t mostKinds = 512;
+// Enough for 100 calls of one kind a second that are refused at one node and may be retried for several
+// seconds.
+constexpr std::size_t maximumCallsPerKind = 512;
+constexpr std::size_t maximumKinds = 512;
 
 } // namespace
 
-void RetryMatcher::recordRefusal(Instant now, std::uint64_t kind, Instant givesUp, Instant firstCame)
+void RetryMatcher::recordRefusal(Instant now, std::uint64_t kind, Instant deadline, Instant firstArrivedAt)
 {
-    if (this->byKind.size() >= mostKinds && !this->byKind.contains(kind))
+    if (this->byKind.size() >= maximumKinds && !this->byKind.contains(kind))
         this->byKind.clear();
-    std::deque<Refused> &known = this->byKind[kind];
-    std::erase_if(known, [now](const Refused &call) { return call.givesUp <= now; });
-    if (known.size() >= mostOfKind)
-        known.pop_front();
-    known.push_back({givesUp, firstCame});
+    std::deque<RefusedCall> &refusedCalls = this->byKind[kind];
+    std::erase_if(refusedCalls, [now](const RefusedCall &call) { return call.deadline <= now; });
+    if (refusedCalls.size() >= maximumCallsPerKind)
+        refusedCalls.pop_front();
+    refusedCalls.push_back({deadline, firstArrivedAt});
 }
 
-std::optional<Instant> RetryMatcher::matchRetry(Instant now, std::uint64_t kind, Instant givesUp)
+std::optional<Instant> RetryMatcher::matchRetry(Instant now, std::uint64_t kind, Instant deadline)
 {
-    const auto known = this->byKind.find(kind);
-    if (known == this->byKind.end())
+    const auto entry = this->byKind.find(kind);
+    if (entry == this->byKind.end())
         return std::nullopt;
-    std::deque<Refused> &calls = known->second;
-    const auto found = std::ranges::find_if(calls, [&](const Refused &call) {
-        const Duration apart = call.givesUp > givesUp ? call.givesUp - givesUp : givesUp - call.givesUp;
-        return call.givesUp > now && apart <= tolerance;
+    std::deque<RefusedCall> &refusedCalls = entry->second;
+    const auto found = std::ranges::find_if(refusedCalls, [&](const RefusedCall &call) {
+        const Duration difference =
+            call.deadline > deadline ? call.deadline - deadline : deadline - call.deadline;
+        return call.deadline > now && difference <= deadlineTolerance;
     });
-    if (found == calls.end())
+    if (found == refusedCalls.end())
         return std::nullopt;
-    const Instant firstCame = found->firstCame;
-    calls.erase(found);
-    return firstCame;
+    const Instant firstArrivedAt = found->firstArrivedAt;
+    refusedCalls.erase(found);
+    return firstArrivedAt;
 }
 
 } // namespace Sagecrank
--- a/Libraries/LibDecide/RetryMatcher.h
+++ b/Libraries/LibDecide/RetryMatcher.h
@@ -1,12 +1,12 @@
-// Which calls are a refused caller's next try. Runs without sockets or clocks.
+// Recognises calls that are retries of refused callers. Uses no sockets or clocks.
 //
-// Load: more calls than the slots bear, so that some are refused and told when to come back. Harm of taking a
-// caller that comes back for a new one: its answer counts as in time by the node's clock, although the caller
-// has waited since its first try; such calls held half of the slots after a restart of everything, answered
-// late, while new ones that could have been answered in time were refused.
+// Under overload, some callers are refused and told when to retry. If a retry was taken for a new call, its
+// answer would count as in time by the node's clock although the caller has waited since its first attempt.
+// After a restart of the whole fleet such calls held half of the slots and were answered late, while new
+// calls that could have been answered in time were refused.
 //
-// A caller that comes back has the deadline that it had, so the moment at which it gives up tells it from all
-// others: a new caller of the same route gives up later than any that came before it.
+// A retry keeps the deadline of the first attempt, which distinguishes it from all other callers: a new
+// caller of the same route has a later deadline than those before it.
 #pragma once
 
 #include <LibCore/Time.h>
@@ -24,21 +24,22 @@
 public:
     // Commands.
 
-    // A call of the kind was refused as not run, and its caller may come back until `givesUp`.
-    void recordRefusal(Instant now, std::uint64_t kind, Instant givesUp, Instant firstCame);
+    // A call of this kind was refused without running, and its caller may retry until `deadline`.
+    void recordRefusal(Instant now, std::uint64_t kind, Instant deadline, Instant firstArrivedAt);
 
-    // When the caller of a call that has just come made its first try, if this is a further one. Each refusal
-    // is matched once.
-    std::optional<Instant> matchRetry(Instant now, std::uint64_t kind, Instant givesUp);
+    // If the call that has just arrived is a retry, returns when its caller's first attempt arrived. Each
+    // refusal is matched once.
+    std::optional<Instant> matchRetry(Instant now, std::uint64_t kind, Instant deadline);
 
 private:
-    struct Refused
+    struct RefusedCall
     {
-        Instant givesUp;
-        Instant firstCame;
+        Instant deadline;
+        Instant firstArrivedAt;
     };
 
-    std::unordered_map<std::uint64_t, std::deque<Refused>> byKind; // In order of refusal; none has given up.
+    // In order of refusal; expired ones are removed on the next refusal.
+    std::unordered_map<std::uint64_t, std::deque<RefusedCall>> byKind;
 };
 
 } // namespace Sagecrank
--- a/Libraries/LibDecide/RunTimes.cpp
+++ b/Libraries/LibDecide/RunTimes.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-// A class is taken for this quick before any call of it has ended: a guess that admits rather than refuses.
-constexpr double firstGuess = 0.002;
+// Run time in seconds assumed until a call of the class has ended. Small, so that a wrong guess admits rather
+// than refuses.
+constexpr double initialRunTimeSeconds = 0.002;
 
-// One observation moves the estimates by this share, so about the last sixty calls count. Harm of a quicker
-// one: a queue takes in a call whenever the estimate happens to be low, so a restless estimate fills it too
-// far.
-constexpr double leastWeight = 0.03;
+// Weight of one observation, so that about the last 60 calls count. A higher weight makes the estimate
+// fluctuate, and the queue overfills whenever it happens to be low.
+constexpr double minimumWeight = 0.03;
 
 Duration fromSeconds(double seconds)
 {
@@ -32,7 +32,7 @@
         return;
     }
     estimate.observations += 1;
-    const double weight = std::max(leastWeight, 1.0 / estimate.observations);
+    const double weight = std::max(minimumWeight, 1.0 / estimate.observations);
     const double distance = std::abs(seconds - estimate.mean);
     estimate.mean += weight * (seconds - estimate.mean);
     estimate.deviation += weight * (distance - estimate.deviation);
@@ -40,7 +40,8 @@
 
 Duration RunTimes::mean(CallClass callClass) const
 {
-    return fromSeconds(this->of(callClass).observations > 0 ? this->of(callClass).mean : firstGuess);
+    return fromSeconds(this->of(callClass).observations > 0 ? this->of(callClass).mean
+                                                            : initialRunTimeSeconds);
 }
 
 Duration RunTimes::optimistic(CallClass callClass) const
--- a/Libraries/LibDecide/RunTimes.h
+++ b/Libraries/LibDecide/RunTimes.h
@@ -1,4 +1,4 @@
-// How long calls of each class have run at one upstream lately: what admission by deadline is judged by.
+// Estimates of the recent run times of each call class at one upstream, used for admission by deadline.
 #pragma once
 
 #include <LibConfig/Model.h>
@@ -14,15 +14,15 @@
 public:
     // Commands.
 
-    // Only successes count: an upstream that fails fast would otherwise look quick.
+    // Only successful calls are recorded: an upstream that fails fast would look quick otherwise.
     void observe(CallClass callClass, Duration took);
 
     // Queries.
 
     Duration mean(CallClass callClass) const;
-    // What a quick call of the class takes. A call is refused for its deadline alone only against this one:
-    // the mean would turn away calls that make it half of the time, and after one slow spell it would turn
-    // away every call whose answer could correct it.
+    // An optimistic run time: the mean less two mean deviations. A call that could start at once is refused
+    // only if even this does not fit before its deadline. The mean would refuse calls that meet their
+    // deadline half of the time, and after a slow period it would refuse every call that could correct it.
     Duration optimistic(CallClass callClass) const;
 
 private:
@@ -30,7 +30,7 @@
     {
         double mean = 0;         // In seconds; zero until the first observation.
         double deviation = 0;    // Mean absolute deviation, in seconds.
-        double observations = 0; // The first ones count evenly.
+        double observations = 0; // The first ones are weighted equally.
     };
 
     const Estimate &of(CallClass callClass) const;
--- a/Libraries/LibDecide/SlotShares.cpp
+++ b/Libraries/LibDecide/SlotShares.cpp
@@ -1,4 +1,4 @@
-// Slot time by class, fading exponentially.
+// Exponentially decaying slot time of each call class.
 #include <LibDecide/SlotShares.h>
 
 #include <algorithm>
@@ -9,19 +9,20 @@
 
 namespace {
 
-// Load: sustained demand above what the slots bear, in which the class that goes first could take every slot.
-// Harm: an invoice or reservation waits until its deadline, is refused, and so never lands. While calls of
-// the class wait, the class is owed this share of recent slot time, ahead of the class order. About a third
-// keeps invoices moving and costs interactive calls at most that when both are in excess. Batch is owed so
-// little that the others do not feel it, yet a night job ends at last.
-constexpr std::array<double, 3> owedShares{0.0, 0.35, 0.02};
+// Guaranteed shares of the recent slot time, by class; a class below its share goes ahead of the precedence
+// order while it has queued calls. Under sustained overload the class of highest precedence could otherwise
+// take every slot, and a non-idempotent call (an invoice, a reservation) would wait until its deadline and be
+// refused every time. About a third keeps these calls moving and costs interactive calls at most that much
+// when both are in excess. The share of batch is too small to affect the others, but lets a nightly job
+// finish.
+constexpr std::array<double, 3> guaranteedShares{0.0, 0.35, 0.02};
 
-// No class is reckoned to get less of the slots than this.
-constexpr double leastPart = 0.02;
+// Lower bound of a class's share in wait estimates.
+constexpr double minimumShare = 0.02;
 
-// Slot time counts for about this long, in seconds: long against one call. Were it longer, a class that used
-// idle slots would be held back for as long afterwards, and its queue would run out of time.
-constexpr double window = 0.2;
+// Time constant of the decay: long compared with one call. With a longer one, a class that had used idle
+// slots would be held back for as long afterwards, and the calls in its queue would miss their deadlines.
+constexpr double decaySeconds = 0.2;
 
 std::size_t indexOf(CallClass callClass)
 {
@@ -32,10 +33,10 @@
 
 void SlotShares::charge(Instant now, CallClass callClass, Duration slotTime)
 {
-    const double kept = this->fading(now);
-    this->fadedAt = now;
+    const double factor = this->decayFactor(now);
+    this->decayedAt = now;
     for (double &seconds : this->used)
-        seconds *= kept;
+        seconds *= factor;
     double &seconds = this->used[indexOf(callClass)];
     seconds = std::max(0.0, seconds + std::chrono::duration<double>(slotTime).count());
 }
@@ -45,29 +46,29 @@
     double total = 0;
     for (const double seconds : this->used)
         total += seconds;
-    return this->used[indexOf(callClass)] < owedShares[indexOf(callClass)] * total;
+    return this->used[indexOf(callClass)] < guaranteedShares[indexOf(callClass)] * total;
 }
 
 double SlotShares::guaranteedShare(CallClass callClass)
 {
-    return std::max(leastPart, owedShares[indexOf(callClass)]);
+    return std::max(minimumShare, guaranteedShares[indexOf(callClass)]);
 }
 
 double SlotShares::remainingShare(Instant now, CallClass callClass, double slots) const
 {
-    const double kept = this->fading(now);
-    double left = 1;
+    const double factor = this->decayFactor(now);
+    double remaining = 1;
     for (const CallClass ahead : classPriorityOrder) {
         if (ahead >= callClass)
             break;
-        left -= kept * this->used[indexOf(ahead)] / (slots * window);
+        remaining -= factor * this->used[indexOf(ahead)] / (slots * decaySeconds);
     }
-    return std::max(leastPart, left);
+    return std::max(minimumShare, remaining);
 }
 
-double SlotShares::fading(Instant now) const
+double SlotShares::decayFactor(Instant now) const
 {
-    return std::exp(-std::chrono::duration<double>(now - this->fadedAt).count() / window);
+    return std::exp(-std::chrono::duration<double>(now - this->decayedAt).count() / decaySeconds);
 }
 
 } // namespace Sagecrank
--- a/Libraries/LibDecide/SlotShares.h
+++ b/Libraries/LibDecide/SlotShares.h
@@ -1,5 +1,5 @@
-// How the slots of one upstream are shared between classes of calls: what each class used lately and what it
-// is owed.
+// Shares the slots of one upstream between call classes: tracks the recent slot time of each class and its
+// guaranteed share.
 #pragma once
 
 #include <LibConfig/Model.h>
@@ -9,7 +9,7 @@
 
 namespace Sagecrank {
 
-// The order in which classes go when none is owed anything.
+// Precedence of the classes when each has its guaranteed share.
 inline constexpr std::array<CallClass, 3> classPriorityOrder{CallClass::Interactive, CallClass::NonIdempotent,
                                                              CallClass::Batch};
 
@@ -18,26 +18,25 @@
 public:
     // Commands.
 
-    // Counts slot time for the class. It is charged at the start with what is expected, or a class could
-    // start many calls before the first one counts; the difference, which may be negative, is charged at the
-    // end.
+    // Adds slot time to the class. The expected run time is charged at the start, since a class could
+    // otherwise start many calls before the first one is counted. The difference to the actual time, which
+    // may be negative, is charged at the end.
     void charge(Instant now, CallClass callClass, Duration slotTime);
 
     // Queries.
 
-    // Whether the class used less lately than it is owed.
+    // Whether the class recently used less than its guaranteed share.
     bool isBelowGuarantee(CallClass callClass) const;
-    // The part of the slots that the class is owed at least.
+    // The share of the slots that the class is guaranteed.
     static double guaranteedShare(CallClass callClass);
-    // The part of the slots that the classes ahead of this one have left it lately.
+    // The share of the slots that classes of higher precedence have recently left to this one.
     double remainingShare(Instant now, CallClass callClass, double slots) const;
 
 private:
-    double fading(Instant now) const;
+    double decayFactor(Instant now) const;
 
-    std::array<double, 3>
-        used{}; // Recent slot time by class in seconds, fading. Invariant: none is negative.
-    Instant fadedAt;
+    std::array<double, 3> used{}; // Decayed slot time by class in seconds. Invariant: none is negative.
+    Instant decayedAt;
 };
 
 } // namespace Sagecrank
--- a/Libraries/LibDecide/TargetGate.cpp
+++ b/Libraries/LibDecide/TargetGate.cpp
@@ -1,4 +1,4 @@
-// Admitting, starting and refusing by target.
+// Admits, starts and refuses calls by latency target.
 #include <LibDecide/TargetGate.h>
 #include <LibDecide/TargetGateConstants.h>
 
@@ -7,7 +7,7 @@
 
 namespace Sagecrank {
 
-using namespace TargetGateFigures;
+using namespace TargetGateConstants;
 
 TargetGate::TargetGate(TargetGateSettings settings)
     : settings(settings)
@@ -16,55 +16,57 @@
 {
 }
 
-GateDecision TargetGate::offer(Instant now, const CallAttributes &facts, std::vector<GateAction> &actions)
+GateDecision TargetGate::offer(Instant now, const CallAttributes &attributes,
+                               std::vector<GateAction> &actions)
 {
-    Kind &kind = this->obtain(now, facts);
-    const RefusalReason reason = this->refusal(now, facts);
-    // A call that may still go elsewhere, or come back here for a late answer, is counted there and then.
-    // Counted at each gate that refuses it, a kind that is well served would pass for one that gets nothing.
-    const bool hasOtherChance = reason == RefusalReason::TargetTooNear && facts.target && !facts.lateAccepted;
-    if (!hasOtherChance)
+    KindStatistics &kind = this->obtainKind(now, attributes);
+    const RefusalReason reason = this->refusal(now, attributes);
+    // A call that may still try another gate, or return here for a late answer, is counted when it does. If
+    // it was counted at each gate that refuses it, a kind that is served well would look starved.
+    const bool mayBeOfferedAgain =
+        reason == RefusalReason::TargetTooNear && attributes.target && !attributes.lateAccepted;
+    if (!mayBeOfferedAgain)
         kind.offered += 1;
     if (reason != RefusalReason::None)
-        return this->refuse(now, facts, reason);
+        return this->refuse(now, attributes, reason);
     const Ticket ticket = this->nextTicket++;
-    if (this->mayStartNow(now, facts)) {
-        this->begin(now, ticket, facts);
+    if (this->mayStartNow(now, attributes)) {
+        this->start(now, ticket, attributes);
         return GateDecision{GateVerdict::Start, ticket, RefusalReason::None, Duration::zero()};
     }
-    this->waitingCalls.push_back(Waiting{ticket, facts});
-    this->refuseHopeless(now, actions);
+    this->queuedCalls.push_back(QueuedCall{ticket, attributes});
+    this->refuseUnservable(now, actions);
     return GateDecision{GateVerdict::Queue, ticket, RefusalReason::None, Duration::zero()};
 }
 
-void TargetGate::finish(Instant now, Ticket ticket, CallOutcome end, std::vector<GateAction> &actions)
+void TargetGate::finish(Instant now, Ticket ticket, CallOutcome outcome, std::vector<GateAction> &actions)
 {
     const auto found = std::find_if(this->runningCalls.begin(), this->runningCalls.end(),
-                                    [ticket](const Running &call) { return call.ticket == ticket; });
+                                    [ticket](const RunningCall &call) { return call.ticket == ticket; });
     if (found == this->runningCalls.end())
         return;
-    const Running ended = *found;
+    const RunningCall finished = *found;
     *found = this->runningCalls.back();
     this->runningCalls.pop_back();
-    const Duration took = now - ended.startedAt;
-    if (end == CallOutcome::Succeeded)
-        this->observe(ended.kind, took);
-    // A call that was cut off would have run at least as long; that counts when it is more than the usual.
-    const Kind *kind = this->find(ended.kind);
-    if (end == CallOutcome::Cancelled && kind != nullptr && toSeconds(took) > kind->mean)
-        this->observe(ended.kind, took);
-    this->startWaiting(now, actions);
+    const Duration runTime = now - finished.startedAt;
+    if (outcome == CallOutcome::Succeeded)
+        this->observe(finished.kind, runTime);
+    // A cancelled call would have run at least this long, so its time counts if it is above the mean.
+    const KindStatistics *kind = this->findKind(finished.kind);
+    if (outcome == CallOutcome::Cancelled && kind != nullptr && toSeconds(runTime) > kind->mean)
+        this->observe(finished.kind, runTime);
+    this->startQueuedCalls(now, actions);
 }
 
 void TargetGate::cancel(Instant now, Ticket ticket, std::vector<GateAction> &actions)
 {
-    std::erase_if(this->waitingCalls, [ticket](const Waiting &call) { return call.ticket == ticket; });
-    this->startWaiting(now, actions);
+    std::erase_if(this->queuedCalls, [ticket](const QueuedCall &call) { return call.ticket == ticket; });
+    this->startQueuedCalls(now, actions);
 }
 
 void TargetGate::advance(Instant now, std::vector<GateAction> &actions)
 {
-    this->startWaiting(now, actions);
+    this->startQueuedCalls(now, actions);
 }
 
 void TargetGate::setState(Instant now, UpstreamCondition condition, std::uint32_t slots,
@@ -72,13 +74,14 @@
 {
     this->slots = slots;
     this->state = condition;
-    if (this->takesCalls())
-        return this->startWaiting(now, actions);
+    if (this->acceptsCalls())
+        return this->startQueuedCalls(now, actions);
     const RefusalReason reason =
         condition == UpstreamCondition::Draining ? RefusalReason::Draining : RefusalReason::NotReady;
-    for (const Waiting &call : this->waitingCalls)
-        actions.push_back(GateAction{call.ticket, false, reason, this->retryAfter(now, call.facts, reason)});
-    this->waitingCalls.clear();
+    for (const QueuedCall &call : this->queuedCalls)
+        actions.push_back(
+            GateAction{call.ticket, false, reason, this->retryAfter(now, call.attributes, reason)});
+    this->queuedCalls.clear();
 }
 
 void TargetGate::setMaximumQueue(std::uint32_t maximumQueue)
@@ -86,14 +89,14 @@
     this->settings.maximumQueue = maximumQueue;
 }
 
-bool TargetGate::wouldAdmit(Instant now, const CallAttributes &facts) const
+bool TargetGate::wouldAdmit(Instant now, const CallAttributes &attributes) const
 {
-    return this->refusal(now, facts) == RefusalReason::None;
+    return this->refusal(now, attributes) == RefusalReason::None;
 }
 
 std::uint32_t TargetGate::freeSlots() const
 {
-    if (!this->takesCalls() || this->running() >= this->slots)
+    if (!this->acceptsCalls() || this->running() >= this->slots)
         return 0;
     return this->slots - this->running();
 }
@@ -101,135 +104,138 @@
 std::optional<Instant> TargetGate::nextDeadline() const
 {
     std::optional<Instant> next;
-    for (const Waiting &call : this->waitingCalls) {
-        const Duration quick = this->quickRun(call.facts);
-        Instant at = call.facts.deadline - quick;
-        if (call.facts.target && !call.facts.lateAccepted)
-            at = std::min(at, *call.facts.target - quick);
+    for (const QueuedCall &call : this->queuedCalls) {
+        const Duration optimistic = this->optimisticRunTime(call.attributes);
+        Instant at = call.attributes.deadline - optimistic;
+        if (call.attributes.target && !call.attributes.lateAccepted)
+            at = std::min(at, *call.attributes.target - optimistic);
         next = std::min(next.value_or(Instant::max()), at);
     }
     return next;
 }
 
-bool TargetGate::takesCalls() const
+bool TargetGate::acceptsCalls() const
 {
     return this->state == UpstreamCondition::Warming || this->state == UpstreamCondition::Ready;
 }
 
-// Load: more calls than the slots bear. Harm: a call that waits for nothing costs its caller the patience
-// that another try would need. It is refused at once: when it cannot be answered before its deadline, or only
-// after its target while there may be a better place, or when it would be late and everything in time goes
-// before it.
-RefusalReason TargetGate::refusal(Instant now, const CallAttributes &facts) const
+// A call that waits in vain uses up the time that its caller needs for another attempt. It is refused at once
+// if it cannot be answered before its deadline, if it would miss its target while another gate may meet it,
+// or if it would be late and calls that can meet their targets leave no slots for it.
+RefusalReason TargetGate::refusal(Instant now, const CallAttributes &attributes) const
 {
     if (this->state == UpstreamCondition::Draining)
         return RefusalReason::Draining;
-    if (!this->takesCalls() || this->slots == 0)
+    if (!this->acceptsCalls() || this->slots == 0)
         return RefusalReason::NotReady;
-    const Duration wait = this->expectedWait(now, facts);
+    const Duration wait = this->expectedWait(now, attributes);
     if (wait <= Duration::zero()) {
-        // One at a time may correct an estimate that is above every deadline.
-        const bool onlyOne = this->runningCalls.empty();
-        const Duration least = onlyOne ? Duration::zero() : this->quickRun(facts);
-        if (now + least >= facts.deadline)
+        // One call at a time is admitted to correct an estimate that is above every deadline.
+        const bool noneRunning = this->runningCalls.empty();
+        const Duration minimumRunTime = noneRunning ? Duration::zero() : this->optimisticRunTime(attributes);
+        if (now + minimumRunTime >= attributes.deadline)
             return RefusalReason::DeadlineTooNear;
-        return facts.lateAccepted || onlyOne || this->inTime(now, facts) ? RefusalReason::None
-                                                                         : RefusalReason::TargetTooNear;
+        return attributes.lateAccepted || noneRunning || this->canMeetTarget(now, attributes)
+                   ? RefusalReason::None
+                   : RefusalReason::TargetTooNear;
     }
-    const Duration run = this->usualRun(now, facts);
+    const Duration runTime = this->meanRunTime(now, attributes);
     if (this->queued() >= this->settings.maximumQueue)
         return RefusalReason::QueueFull;
-    const bool beforeDeadline = now + wait + run < facts.deadline;
-    if (!facts.target)
+    const bool beforeDeadline = now + wait + runTime < attributes.deadline;
+    if (!attributes.target)
         return beforeDeadline ? RefusalReason::None : RefusalReason::DeadlineTooNear;
-    if (beforeDeadline && now + wait + this->likelyRun(now, facts) <= *facts.target)
+    if (beforeDeadline && now + wait + this->conservativeRunTime(now, attributes) <= *attributes.target)
         return RefusalReason::None;
-    if (!facts.lateAccepted)
+    if (!attributes.lateAccepted)
         return RefusalReason::TargetTooNear;
-    CallAttributes late = facts;
-    late.target = now - 1h;
-    if (this->lateIsHopeless(now, facts))
+    CallAttributes lateAttributes = attributes;
+    lateAttributes.target = now - 1h;
+    if (this->leavesNoRoomForLate(now, attributes))
         return RefusalReason::TargetTooNear;
-    const Duration lateWait = fromSeconds(toSeconds(this->expectedWait(now, late)) * lateMargin);
-    return now + lateWait + run < facts.deadline ? RefusalReason::None : RefusalReason::DeadlineTooNear;
+    const Duration lateWait =
+        fromSeconds(toSeconds(this->expectedWait(now, lateAttributes)) * lateWaitFactor);
+    return now + lateWait + runTime < attributes.deadline ? RefusalReason::None
+                                                          : RefusalReason::DeadlineTooNear;
 }
 
-GateDecision TargetGate::refuse(Instant now, const CallAttributes &facts, RefusalReason reason)
+GateDecision TargetGate::refuse(Instant now, const CallAttributes &attributes, RefusalReason reason)
 {
-    return GateDecision{GateVerdict::Refuse, 0, reason, this->retryAfter(now, facts, reason)};
+    return GateDecision{GateVerdict::Refuse, 0, reason, this->retryAfter(now, attributes, reason)};
 }
 
-// Load: a burst that is refused together. Harm: told the same moment, all of it returns together and is
-// refused again. Each refused caller is given a turn of its own, one run time of a slot after the last one's.
-Duration TargetGate::retryAfter(Instant now, const CallAttributes &facts, RefusalReason reason)
+// If callers refused in one burst were all told the same time, they would return together and be refused
+// again. Each is given a time of its own, one mean run time of a slot after the previous one.
+Duration TargetGate::retryAfter(Instant now, const CallAttributes &attributes, RefusalReason reason)
 {
     if (reason == RefusalReason::Draining || reason == RefusalReason::NotReady)
-        return this->jittered(absentRetryAfter);
-    const Duration turn = this->usualRun(now, facts) / std::max(1U, this->slots);
-    const Instant drained = now + this->expectedWait(now, facts);
-    this->nextReturn = std::max(this->nextReturn, drained) + turn;
-    this->nextReturn = std::min(this->nextReturn, now + longestRetryAfter);
-    return std::max(shortestRetryAfter, this->jittered(this->nextReturn - now));
+        return this->jittered(unavailableRetryAfter);
+    const Duration interval = this->meanRunTime(now, attributes) / std::max(1U, this->slots);
+    const Instant queueServedAt = now + this->expectedWait(now, attributes);
+    this->nextRetryAt = std::max(this->nextRetryAt, queueServedAt) + interval;
+    this->nextRetryAt = std::min(this->nextRetryAt, now + maximumRetryAfter);
+    return std::max(minimumRetryAfter, this->jittered(this->nextRetryAt - now));
 }
 
-// Between three quarters and five quarters of the span.
-Duration TargetGate::jittered(Duration span)
+// Returns 75% to 125% of the duration.
+Duration TargetGate::jittered(Duration duration)
 {
     this->jitterState = this->jitterState * 6364136223846793005ULL + 1442695040888963407ULL;
     const double uniform = static_cast<double>(this->jitterState >> 11U) * 0x1p-53;
-    return fromSeconds(toSeconds(span) * (0.75 + 0.5 * uniform));
+    return fromSeconds(toSeconds(duration) * (0.75 + 0.5 * uniform));
 }
 
-void TargetGate::begin(Instant now, Ticket ticket, const CallAttributes &facts)
+void TargetGate::start(Instant now, Ticket ticket, const CallAttributes &attributes)
 {
-    Kind &kind = this->obtain(now, facts);
+    KindStatistics &kind = this->obtainKind(now, attributes);
     kind.started += 1;
-    this->runningCalls.push_back(Running{ticket, facts.kind, now});
+    this->runningCalls.push_back(RunningCall{ticket, attributes.kind, now});
 }
 
-void TargetGate::startWaiting(Instant now, std::vector<GateAction> &actions)
+void TargetGate::startQueuedCalls(Instant now, std::vector<GateAction> &actions)
 {
-    this->refuseHopeless(now, actions);
+    this->refuseUnservable(now, actions);
     while (this->freeSlots() > 0) {
-        std::optional<std::size_t> best;
+        std::optional<std::size_t> bestIndex;
         Rank bestRank;
-        for (std::size_t index = 0; index < this->waitingCalls.size(); ++index) {
-            const Waiting &call = this->waitingCalls[index];
-            const Rank rank = this->rankOf(now, call.facts, call.ticket);
-            if (!this->leavesReserve(now, call.facts) || (best && !ranksBefore(rank, bestRank)))
+        for (std::size_t index = 0; index < this->queuedCalls.size(); ++index) {
+            const QueuedCall &call = this->queuedCalls[index];
+            const Rank rank = this->rankOf(now, call.attributes, call.ticket);
+            if (!this->fitsLongCallLimit(now, call.attributes) || (bestIndex && !ranksBefore(rank, bestRank)))
                 continue;
-            best = index;
+            bestIndex = index;
             bestRank = rank;
         }
-        if (!best)
+        if (!bestIndex)
             return;
-        const Waiting call = this->waitingCalls[*best];
-        this->waitingCalls.erase(this->waitingCalls.begin() + static_cast<std::ptrdiff_t>(*best));
-        if (call.facts.deadline <= now + this->quickRun(call.facts)) {
+        const QueuedCall call = this->queuedCalls[*bestIndex];
+        this->queuedCalls.erase(this->queuedCalls.begin() + static_cast<std::ptrdiff_t>(*bestIndex));
+        if (call.attributes.deadline <= now + this->optimisticRunTime(call.attributes)) {
             const RefusalReason reason = RefusalReason::DeadlinePassed;
             actions.push_back(
-                GateAction{call.ticket, false, reason, this->retryAfter(now, call.facts, reason)});
+                GateAction{call.ticket, false, reason, this->retryAfter(now, call.attributes, reason)});
             continue;
         }
-        this->begin(now, call.ticket, call.facts);
+        this->start(now, call.ticket, call.attributes);
         actions.push_back(GateAction{call.ticket, true, RefusalReason::None, Duration::zero()});
     }
 }
 
-// Those that waited in vain are told at once, while their callers can still turn elsewhere.
-void TargetGate::refuseHopeless(Instant now, std::vector<GateAction> &actions)
+// Refuses queued calls that can no longer be served in time, while their callers can still go elsewhere.
+void TargetGate::refuseUnservable(Instant now, std::vector<GateAction> &actions)
 {
-    std::erase_if(this->waitingCalls, [&](const Waiting &call) {
-        const Duration quick = this->quickRun(call.facts);
+    std::erase_if(this->queuedCalls, [&](const QueuedCall &call) {
+        const Duration optimistic = this->optimisticRunTime(call.attributes);
         RefusalReason reason = RefusalReason::None;
-        if (call.facts.deadline <= now + quick)
+        if (call.attributes.deadline <= now + optimistic)
             reason = RefusalReason::DeadlinePassed;
-        else if (!this->inTime(now, call.facts)
-                 && (!call.facts.lateAccepted || this->lateIsHopeless(now, call.facts)))
+        else if (!this->canMeetTarget(now, call.attributes)
+                 && (!call.attributes.lateAccepted || this->leavesNoRoomForLate(now, call.attributes)))
             reason = RefusalReason::TargetTooNear;
         if (reason == RefusalReason::None)
             return false;
-        actions.push_back(GateAction{call.ticket, false, reason, this->retryAfter(now, call.facts, reason)});
+        actions.push_back(
+            GateAction{call.ticket, false, reason, this->retryAfter(now, call.attributes, reason)});
         return true;
     });
 }
--- a/Libraries/LibDecide/TargetGate.h
+++ b/Libraries/LibDecide/TargetGate.h
@@ -1,11 +1,10 @@
-// Admission at one upstream for calls that say when their answer is worth most. Which calls start now, which
-// wait, which are refused, so that as many callers as possible are answered within their target, the most
-// urgent ones first. Runs without sockets or clocks.
+// Admission control of one upstream for calls with a latency target. Decides which calls start now, which are
+// queued and which are refused, so that as many callers as possible are answered within their target, the
+// most urgent ones first. Uses no sockets or clocks.
 //
-// Load: services that are asked for more than their slots bear (a fifth more for seconds on end), by calls of
-// 15 to 480 ms that share the slots and whose callers wait for 60 to 1,200 ms. Harm of a queue in order of
-// arrival: every call waits, the quick ones are all late, and each slot's time goes to answers that nobody
-// needs any more.
+// Made for services whose demand exceeds their slots (by a fifth for several seconds), with calls of 15 to
+// 480 ms that share the slots and targets of 60 to 1,200 ms. With a first-in-first-out queue every call
+// waits, the quick ones are all late, and slot time is spent on answers that nobody needs any more.
 #pragma once
 
 #include <LibDecide/Admission.h>
@@ -21,20 +20,22 @@
 struct TargetGateSettings
 {
     std::uint32_t slots = 1;
-    std::uint32_t maximumQueue = 256; // Bounds memory; targets and deadlines bound the queue before it does.
-    std::uint64_t jitterSeed = 1; // Differs from gate to gate, so that their refused callers do not agree.
+    // Bounds memory; targets and deadlines usually keep the queue shorter.
+    std::uint32_t maximumQueue = 256;
+    // Different for each gate, so that retries of callers refused by different gates do not synchronise.
+    std::uint64_t jitterSeed = 1;
 };
 
-// Not thread-safe. A new gate is NotReady until setState says otherwise. Every ticket that offer() gave out
-// ends exactly once: by finish() after it started, by cancel() while it waits, or by a refusing GateAction.
+// Not thread-safe. A new gate is NotReady until setState() is called. Every ticket that offer() returns ends
+// exactly once: by finish() after it started, by cancel() while it is queued, or by a refusing GateAction.
 class TargetGate
 {
 public:
     explicit TargetGate(TargetGateSettings settings);
 
-    // Commands: as Gate's.
-    GateDecision offer(Instant now, const CallAttributes &facts, std::vector<GateAction> &actions);
-    void finish(Instant now, Ticket ticket, CallOutcome end, std::vector<GateAction> &actions);
+    // Commands, as in Gate.
+    GateDecision offer(Instant now, const CallAttributes &attributes, std::vector<GateAction> &actions);
+    void finish(Instant now, Ticket ticket, CallOutcome outcome, std::vector<GateAction> &actions);
     void cancel(Instant now, Ticket ticket, std::vector<GateAction> &actions);
     void advance(Instant now, std::vector<GateAction> &actions);
     void setState(Instant now, UpstreamCondition condition, std::uint32_t slots,
@@ -42,94 +43,94 @@
     void setMaximumQueue(std::uint32_t maximumQueue);
 
     // Queries.
-    bool wouldAdmit(Instant now, const CallAttributes &facts) const;
+    bool wouldAdmit(Instant now, const CallAttributes &attributes) const;
     std::uint32_t running() const { return static_cast<std::uint32_t>(this->runningCalls.size()); }
-    std::uint32_t queued() const { return static_cast<std::uint32_t>(this->waitingCalls.size()); }
+    std::uint32_t queued() const { return static_cast<std::uint32_t>(this->queuedCalls.size()); }
     std::uint32_t freeSlots() const;
     UpstreamCondition condition() const { return this->state; }
     std::optional<Instant> nextDeadline() const; // When advance() must be called next.
-    // Until a slot is free for such a call, if it came now.
-    Duration expectedWait(Instant now, const CallAttributes &facts) const;
+    // Time until a slot would be free for such a call if it came now.
+    Duration expectedWait(Instant now, const CallAttributes &attributes) const;
 
 private:
-    // What is known of the calls of one kind.
-    struct Kind
+    // Statistics of the calls of one kind.
+    struct KindStatistics
     {
-        double mean = 0;      // Seconds of a run; zero until the first one.
+        double mean = 0;      // Run time in seconds; zero until the first observation.
         double deviation = 0; // Mean absolute deviation, in seconds.
         double observations = 0;
-        double offered = 0; // Recent calls, fading.
+        double offered = 0; // Decayed number of recent calls.
         double started = 0;
-        Instant fadedAt = Instant::min();
+        Instant decayedAt = Instant::min();
         std::uint32_t priority = 0;
-        double slack = 0;     // Seconds between a usual run and its target, when it was last offered.
-        Duration turnAfter{}; // From its offer to its turn; see Rank.
+        double slack = 0;         // Seconds between the target and the mean run time, at the last offer.
+        Duration startByOffset{}; // From the offer to Rank::startBy.
     };
 
-    struct Waiting
+    struct QueuedCall
     {
         Ticket ticket = 0;
-        CallAttributes facts;
+        CallAttributes attributes;
     };
 
-    struct Running
+    struct RunningCall
     {
         Ticket ticket = 0;
         std::uint64_t kind = 0;
         Instant startedAt;
     };
 
-    // By which of two calls goes first; see ranksBefore().
+    // Sort key of the queue; see ranksBefore().
     struct Rank
     {
         bool late = false;
         bool starved = false;
         std::uint32_t priority = 0;
-        Instant turn; // When it must start, moved back by some of its own runs.
+        Instant startBy; // Latest start that meets the target, moved back by some of its own run times.
         Ticket ticket = 0;
     };
 
-    bool takesCalls() const;
-    const Kind *find(std::uint64_t kind) const;
-    Kind &obtain(Instant now, const CallAttributes &facts);
-    void fade(Kind &kind, Instant now) const;
-    Duration usualRun(Instant now, const CallAttributes &facts) const;
-    Duration quickRun(const CallAttributes &facts) const;
-    Duration likelyRun(Instant now, const CallAttributes &facts) const;
-    bool inTime(Instant now, const CallAttributes &facts) const;
-    Rank rankOf(Instant now, const CallAttributes &facts, Ticket ticket) const;
+    bool acceptsCalls() const;
+    const KindStatistics *findKind(std::uint64_t kind) const;
+    KindStatistics &obtainKind(Instant now, const CallAttributes &attributes);
+    void decay(KindStatistics &kind, Instant now) const;
+    Duration meanRunTime(Instant now, const CallAttributes &attributes) const;
+    Duration optimisticRunTime(const CallAttributes &attributes) const;
+    Duration conservativeRunTime(Instant now, const CallAttributes &attributes) const;
+    bool canMeetTarget(Instant now, const CallAttributes &attributes) const;
+    Rank rankOf(Instant now, const CallAttributes &attributes, Ticket ticket) const;
     static bool ranksBefore(const Rank &left, const Rank &right);
     bool isStarved(std::uint64_t kind) const;
-    bool isLong(Instant now, const CallAttributes &facts) const;
-    std::uint32_t slotsForLong(Instant now, const CallAttributes &facts) const;
-    double recentLoad(Instant now, const Kind &kind) const;
-    bool leavesReserve(Instant now, const CallAttributes &facts) const;
-    bool mayStartNow(Instant now, const CallAttributes &facts) const;
-    double shareAhead(Instant now, const CallAttributes &facts, const Rank &rank) const;
-    bool longOnesGoBefore(Instant now, const Rank &rank) const;
-    bool lateIsHopeless(Instant now, const CallAttributes &facts) const;
-    RefusalReason refusal(Instant now, const CallAttributes &facts) const;
-    GateDecision refuse(Instant now, const CallAttributes &facts, RefusalReason reason);
-    Duration retryAfter(Instant now, const CallAttributes &facts, RefusalReason reason);
-    Duration jittered(Duration span);
-    void begin(Instant now, Ticket ticket, const CallAttributes &facts);
-    void startWaiting(Instant now, std::vector<GateAction> &actions);
-    void refuseHopeless(Instant now, std::vector<GateAction> &actions);
-    void observe(std::uint64_t kind, Duration took);
-    void forgetOldKinds();
+    bool isLongRunning(Instant now, const CallAttributes &attributes) const;
+    std::uint32_t slotsForLongCalls(Instant now, const CallAttributes &attributes) const;
+    double recentSlotUse(Instant now, const KindStatistics &kind) const;
+    bool fitsLongCallLimit(Instant now, const CallAttributes &attributes) const;
+    bool mayStartNow(Instant now, const CallAttributes &attributes) const;
+    double shareOfHigherRanks(Instant now, const CallAttributes &attributes, const Rank &rank) const;
+    bool longCallRanksBefore(Instant now, const Rank &rank) const;
+    bool leavesNoRoomForLate(Instant now, const CallAttributes &attributes) const;
+    RefusalReason refusal(Instant now, const CallAttributes &attributes) const;
+    GateDecision refuse(Instant now, const CallAttributes &attributes, RefusalReason reason);
+    Duration retryAfter(Instant now, const CallAttributes &attributes, RefusalReason reason);
+    Duration jittered(Duration duration);
+    void start(Instant now, Ticket ticket, const CallAttributes &attributes);
+    void startQueuedCalls(Instant now, std::vector<GateAction> &actions);
+    void refuseUnservable(Instant now, std::vector<GateAction> &actions);
+    void observe(std::uint64_t kind, Duration runTime);
+    void evictOldestKind();
 
     TargetGateSettings settings;
     UpstreamCondition state = UpstreamCondition::NotReady;
-    // As announced. Failure: a faulty upstream sheds half of its calls with slots free. Symptom of fewer
-    // slots after each shed: it runs at a tenth of what it bears (227 calls a second became 47 at one that
-    // shed 55%). The gate holds every slot itself, so a shed says that the upstream is faulty and not that it
-    // is full.
+    // The announced slots. They are not lowered when the upstream sheds: the gate itself holds every slot, so
+    // a shed call means that the upstream is faulty and not that it is full. With fewer slots after each
+    // shed, a faulty upstream that sheds half of its calls with slots free would run at a tenth of its
+    // capacity (47 in place of 227 calls a second at one that shed 55%).
     std::uint32_t slots;
     Ticket nextTicket = 1;
-    std::vector<Running> runningCalls; // None starts above the slots; fewer slots cut none off.
-    std::vector<Waiting> waitingCalls; // In order of arrival.
-    std::unordered_map<std::uint64_t, Kind> kinds;
-    Instant nextReturn = Instant::min(); // When the next refused caller is told to come back.
+    std::vector<RunningCall> runningCalls; // No call starts above the slots; a lower number cuts none off.
+    std::vector<QueuedCall> queuedCalls;   // In order of arrival.
+    std::unordered_map<std::uint64_t, KindStatistics> kinds;
+    Instant nextRetryAt = Instant::min(); // The latest retry time given to a refused caller.
     std::uint64_t jitterState;
 };
 
--- a/Libraries/LibDecide/TargetGateConstants.h
+++ b/Libraries/LibDecide/TargetGateConstants.h
@@ -1,4 +1,4 @@
-// Figures and conversions that TargetGate's parts share.
+// Constants and conversions shared by the parts of TargetGate.
 #pragma once
 
 #include <LibCore/Time.h>
@@ -7,66 +7,68 @@
 #include <cstddef>
 #include <cstdint>
 
-namespace Sagecrank::TargetGateFigures {
+namespace Sagecrank::TargetGateConstants {
 
 using namespace std::chrono_literals;
 
-// A kind whose first call has not ended yet is taken to need this part of its target: most services set a
-// target of three to four times the usual run.
-inline constexpr double firstGuessOfTarget = 0.3;
-inline constexpr Duration firstGuess = 50ms; // Where there is no target either.
+// Share of the target assumed as the run time until the first call of a kind has ended: most services set a
+// target of three to four times the mean run time.
+inline constexpr double initialRunTimeShareOfTarget = 0.3;
+inline constexpr Duration initialRunTime = 50ms; // Assumed if there is no target.
 
-// One observation moves the estimates by this share, so about the last forty calls count: enough to be calm,
-// few enough to follow a server that turns slow within a second.
-inline constexpr double leastWeight = 0.05;
+// Weight of one observation, so that about the last 40 calls count: enough for a stable estimate, and few
+// enough to follow a server that turns slow within a second.
+inline constexpr double minimumWeight = 0.05;
 
-// Load: a little more than the slots bear, so that the queue is as long as it may be. Harm of letting a call
-// wait until its mean run alone fits before its target: the slots answer no more calls than with a shorter
-// queue, and runs that are longer than the mean end late. So many mean deviations are added: 0.81 of the
-// callers in time in place of 0.78 at 1.05 times the slots (played).
-inline constexpr double likelyDeviations = 1.0;
+// Mean deviations added to the mean run time of a call that would wait. At 1.05 times the capacity of the
+// slots, 81% of the callers were answered in time with one deviation and 78% with the mean alone: a longer
+// queue answers no more calls, and runs above the mean end late.
+inline constexpr double conservativeDeviations = 1.0;
 
-// Offered and started calls of a kind count for about this long, in seconds.
-inline constexpr double window = 2.0;
+// Time constant with which offered and started calls are forgotten.
+inline constexpr double countWindowSeconds = 2.0;
 
-// Load: sustained overload by calls of a higher rank. Harm: the lowest kind gets nothing for as long as it
-// lasts, and its users see an outage instead of a slow day. A kind of which less than this share starts goes
-// first until it is back at it.
+// A kind of which less than this share of the calls start goes first until it is back at the share. Otherwise
+// sustained overload by calls of higher rank would cut the lowest kind off completely, which its users see as
+// an outage instead of slow service.
 inline constexpr double starvedShare = 0.15;
-inline constexpr double fewestOffered = 3; // Below it, a share says nothing.
+inline constexpr double minimumOffered = 3; // With fewer calls, the share is not meaningful.
 
-// Load: calls of 240 ms beside others that must be answered within 60. Harm: when long ones hold every slot,
-// the quick ones wait for one to end and are late, although they need little. Long ones hold the slots that
-// the quick ones leave on average, less so many standard deviations of their number (which is its square
-// root, for calls that come independently).
-inline constexpr double spareDeviations = 0.5;
-inline constexpr double longRuns = 4; // Times the other kind's run: closer ones share the slots without harm.
+// Slots kept free of long calls beyond those that quick calls use on average, in standard deviations of their
+// number (its square root, for independent arrivals). If calls of 240 ms held every slot, calls that must be
+// answered within 60 ms would wait for one of them to end and be late, although they need little slot time.
+inline constexpr double reserveDeviations = 0.5;
+// A call is long if its run time is this many times that of another kind; kinds closer than that can share
+// the slots.
+inline constexpr double longRunFactor = 4;
 
-// Of two calls of one priority, the quick one goes first while the other has this many of its own runs more
-// to spare. Without it, long calls near their target hold up many quick ones; with much more, they are always
-// last.
-inline constexpr int runsOfHeadStart = 1;
+// Run times of its own by which a call's required start is moved back, so that quick calls go before long
+// ones of the same priority that have time to spare. Without it, long calls near their target hold up many
+// quick ones; with much more, long calls are always last.
+inline constexpr int headStartRuns = 1;
 
-// The share of the slots that calls of a higher rank took lately makes everybody behind them wait longer.
-// Above this the estimate would be without bound.
-inline constexpr double mostShareAhead = 0.9;
+// Upper bound of the share of the slots that calls of higher rank are assumed to use; the estimated wait
+// would grow without bound otherwise.
+inline constexpr double maximumShareAhead = 0.9;
 
-// Once calls in time take this share of the slots, a late one that waits is overtaken for as long as that
-// lasts.
-inline constexpr double hopelessShare = 0.6;
+// If calls that can meet their targets use this share of the slots, a late call that waits would be overtaken
+// for as long as that lasts, so it is refused.
+inline constexpr double noRoomForLateShare = 0.6;
 
-inline constexpr double leastRemaining = 0.2; // Of the usual run, for one that has outlived it.
+// Share of the mean run time assumed to remain for a call that has exceeded it.
+inline constexpr double minimumRemainingShare = 0.2;
 
-// A late call waits behind all that are in time, so its wait is the least certain: it needs room for twice as
-// much as expected. In trials with less room such calls waited to their deadline in vain.
-inline constexpr double lateMargin = 2.0;
+// A late call is admitted only if this many times its expected wait fits before its deadline: it waits behind
+// all calls that can meet their targets, so its wait is the least certain. With less room such calls waited
+// until their deadline in vain.
+inline constexpr double lateWaitFactor = 2.0;
 
-inline constexpr std::size_t mostKinds = 512; // About 60 KB.
+inline constexpr std::size_t maximumKinds = 512; // About 60 KB.
 
-inline constexpr Duration absentRetryAfter =
-    1s; // Until the callers' nodes have heard that the upstream leaves.
-inline constexpr Duration longestRetryAfter = 5s;
-inline constexpr Duration shortestRetryAfter = 5ms;
+inline constexpr Duration unavailableRetryAfter =
+    1s; // By then the callers' nodes know that the upstream is leaving.
+inline constexpr Duration maximumRetryAfter = 5s;
+inline constexpr Duration minimumRetryAfter = 5ms;
 
 inline double toSeconds(Duration duration)
 {
@@ -78,4 +80,4 @@
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
 }
 
-} // namespace Sagecrank::TargetGateFigures
+} // namespace Sagecrank::TargetGateConstants
--- a/Libraries/LibDecide/TargetGateRank.cpp
+++ b/Libraries/LibDecide/TargetGateRank.cpp
@@ -1,4 +1,4 @@
-// What is known of kinds of calls, which call goes first, and how long one would wait.
+// Statistics of call kinds, the rank of queued calls and estimates of their wait.
 #include <LibDecide/TargetGate.h>
 #include <LibDecide/TargetGateConstants.h>
 
@@ -7,116 +7,117 @@
 
 namespace Sagecrank {
 
-using namespace TargetGateFigures;
+using namespace TargetGateConstants;
 
-const TargetGate::Kind *TargetGate::find(std::uint64_t kind) const
+const TargetGate::KindStatistics *TargetGate::findKind(std::uint64_t kind) const
 {
     const auto found = this->kinds.find(kind);
     return found == this->kinds.end() ? nullptr : &found->second;
 }
 
-TargetGate::Kind &TargetGate::obtain(Instant now, const CallAttributes &facts)
+TargetGate::KindStatistics &TargetGate::obtainKind(Instant now, const CallAttributes &attributes)
 {
-    if (this->kinds.size() >= mostKinds && !this->kinds.contains(facts.kind))
-        this->forgetOldKinds();
-    Kind &kind = this->kinds[facts.kind];
-    this->fade(kind, now);
-    kind.priority = facts.priority;
-    if (facts.target) {
-        const Duration run = this->usualRun(now, facts);
-        kind.slack = toSeconds(*facts.target - now - run);
-        kind.turnAfter = *facts.target - now - run + runsOfHeadStart * run;
+    if (this->kinds.size() >= maximumKinds && !this->kinds.contains(attributes.kind))
+        this->evictOldestKind();
+    KindStatistics &kind = this->kinds[attributes.kind];
+    this->decay(kind, now);
+    kind.priority = attributes.priority;
+    if (attributes.target) {
+        const Duration runTime = this->meanRunTime(now, attributes);
+        kind.slack = toSeconds(*attributes.target - now - runTime);
+        kind.startByOffset = *attributes.target - now - runTime + headStartRuns * runTime;
     }
     return kind;
 }
 
-void TargetGate::fade(Kind &kind, Instant now) const
+void TargetGate::decay(KindStatistics &kind, Instant now) const
 {
-    if (kind.fadedAt != Instant::min()) {
-        const double kept = std::exp(-toSeconds(now - kind.fadedAt) / window);
-        kind.offered *= kept;
-        kind.started *= kept;
+    if (kind.decayedAt != Instant::min()) {
+        const double factor = std::exp(-toSeconds(now - kind.decayedAt) / countWindowSeconds);
+        kind.offered *= factor;
+        kind.started *= factor;
     }
-    kind.fadedAt = now;
+    kind.decayedAt = now;
 }
 
-void TargetGate::forgetOldKinds()
+void TargetGate::evictOldestKind()
 {
     auto oldest = this->kinds.begin();
     for (auto entry = this->kinds.begin(); entry != this->kinds.end(); ++entry) {
-        if (entry->second.fadedAt < oldest->second.fadedAt)
+        if (entry->second.decayedAt < oldest->second.decayedAt)
             oldest = entry;
     }
     this->kinds.erase(oldest);
 }
 
-void TargetGate::observe(std::uint64_t kindId, Duration took)
+void TargetGate::observe(std::uint64_t kindId, Duration runTime)
 {
     const auto found = this->kinds.find(kindId);
     if (found == this->kinds.end())
         return;
-    Kind &kind = found->second;
-    const double seconds = toSeconds(took);
+    KindStatistics &kind = found->second;
+    const double seconds = toSeconds(runTime);
     kind.observations += 1;
     if (kind.observations <= 1) {
         kind.mean = seconds;
         kind.deviation = seconds / 2;
         return;
     }
-    const double weight = std::max(leastWeight, 1.0 / kind.observations);
+    const double weight = std::max(minimumWeight, 1.0 / kind.observations);
     const double distance = std::abs(seconds - kind.mean);
     kind.mean += weight * (seconds - kind.mean);
     kind.deviation += weight * (distance - kind.deviation);
 }
 
-Duration TargetGate::usualRun(Instant now, const CallAttributes &facts) const
+Duration TargetGate::meanRunTime(Instant now, const CallAttributes &attributes) const
 {
-    const Kind *kind = this->find(facts.kind);
+    const KindStatistics *kind = this->findKind(attributes.kind);
     if (kind != nullptr && kind->observations > 0)
         return fromSeconds(kind->mean);
-    if (!facts.target)
-        return firstGuess;
+    if (!attributes.target)
+        return initialRunTime;
     return std::max<Duration>(Duration::zero(),
-                              fromSeconds(toSeconds(*facts.target - now) * firstGuessOfTarget));
+                              fromSeconds(toSeconds(*attributes.target - now) * initialRunTimeShareOfTarget));
 }
 
-// What a quick call of the kind takes. A call that could start at once is judged by this one: the mean would
-// turn away calls that make it half of the time.
-Duration TargetGate::quickRun(const CallAttributes &facts) const
+// An optimistic run time: the mean less 1.5 mean deviations. Decides on calls that could start at once, since
+// the mean would refuse calls that meet their target half of the time.
+Duration TargetGate::optimisticRunTime(const CallAttributes &attributes) const
 {
-    const Kind *kind = this->find(facts.kind);
+    const KindStatistics *kind = this->findKind(attributes.kind);
     if (kind == nullptr || kind->observations == 0)
         return Duration::zero();
     return fromSeconds(std::max(0.0, kind->mean - 1.5 * kind->deviation));
 }
 
-// What most calls of the kind take. A call that waits is judged by this one.
-Duration TargetGate::likelyRun(Instant now, const CallAttributes &facts) const
+// A run time that most calls of the kind stay below. Decides on calls that would have to wait.
+Duration TargetGate::conservativeRunTime(Instant now, const CallAttributes &attributes) const
 {
-    const Kind *kind = this->find(facts.kind);
+    const KindStatistics *kind = this->findKind(attributes.kind);
     const double deviation = kind == nullptr ? 0 : kind->deviation;
-    return this->usualRun(now, facts) + fromSeconds(likelyDeviations * deviation);
+    return this->meanRunTime(now, attributes) + fromSeconds(conservativeDeviations * deviation);
 }
 
-bool TargetGate::inTime(Instant now, const CallAttributes &facts) const
+bool TargetGate::canMeetTarget(Instant now, const CallAttributes &attributes) const
 {
-    return !facts.target || now + this->quickRun(facts) <= *facts.target;
+    return !attributes.target || now + this->optimisticRunTime(attributes) <= *attributes.target;
 }
 
-TargetGate::Rank TargetGate::rankOf(Instant now, const CallAttributes &facts, Ticket ticket) const
+TargetGate::Rank TargetGate::rankOf(Instant now, const CallAttributes &attributes, Ticket ticket) const
 {
-    const Duration run = this->usualRun(now, facts);
+    const Duration runTime = this->meanRunTime(now, attributes);
     Rank rank;
-    rank.late = !this->inTime(now, facts);
-    rank.starved = this->isStarved(facts.kind);
-    rank.priority = facts.priority;
-    rank.turn = facts.target.value_or(facts.deadline) - run + runsOfHeadStart * run;
+    rank.late = !this->canMeetTarget(now, attributes);
+    rank.starved = this->isStarved(attributes.kind);
+    rank.priority = attributes.priority;
+    rank.startBy = attributes.target.value_or(attributes.deadline) - runTime + headStartRuns * runTime;
     rank.ticket = ticket;
     return rank;
 }
 
-// In time before late, since a late answer is worth a part of the other; the more urgent before the less;
-// then whoever must start first, with a head start for the quick, since a slot answers more of them.
+// Calls that can meet their target go before late ones, whose answers are worth less; then starved kinds;
+// then calls of higher priority; then the earliest required start. The head start in startBy favours quick
+// calls, since a slot answers more of them.
 bool TargetGate::ranksBefore(const Rank &left, const Rank &right)
 {
     if (left.late != right.late)
@@ -125,150 +126,159 @@
         return left.starved;
     if (left.priority != right.priority)
         return left.priority < right.priority;
-    if (left.turn != right.turn)
-        return left.turn < right.turn;
+    if (left.startBy != right.startBy)
+        return left.startBy < right.startBy;
     return left.ticket < right.ticket;
 }
 
 bool TargetGate::isStarved(std::uint64_t kindId) const
 {
-    const Kind *kind = this->find(kindId);
-    return kind != nullptr && kind->offered >= fewestOffered && kind->started < starvedShare * kind->offered;
+    const KindStatistics *kind = this->findKind(kindId);
+    return kind != nullptr && kind->offered >= minimumOffered && kind->started < starvedShare * kind->offered;
 }
 
-// Whether such a call runs longer than some kind that is not less urgent can wait.
-bool TargetGate::isLong(Instant now, const CallAttributes &facts) const
+// Whether the call runs longer than another kind of the same or a higher priority can wait.
+bool TargetGate::isLongRunning(Instant now, const CallAttributes &attributes) const
 {
-    const double run = toSeconds(this->usualRun(now, facts));
+    const double runTime = toSeconds(this->meanRunTime(now, attributes));
     return std::any_of(this->kinds.begin(), this->kinds.end(), [&](const auto &entry) {
-        const Kind &other = entry.second;
-        const bool present = other.offered >= 1 && toSeconds(now - other.fadedAt) < window;
-        return present && entry.first != facts.kind && other.priority <= facts.priority && other.mean > 0
-               && run > longRuns * other.mean && run > other.slack;
+        const KindStatistics &other = entry.second;
+        const bool present = other.offered >= 1 && toSeconds(now - other.decayedAt) < countWindowSeconds;
+        return present && entry.first != attributes.kind && other.priority <= attributes.priority
+               && other.mean > 0 && runTime > longRunFactor * other.mean && runTime > other.slack;
     });
 }
 
-// Slots that calls which run long may hold together: those that the quick ones leave, with some to spare for
-// the moments when several come at once.
-std::uint32_t TargetGate::slotsForLong(Instant now, const CallAttributes &facts) const
+// The number of slots that long calls may hold together: those that quick calls leave on average, less a
+// reserve for bursts.
+std::uint32_t TargetGate::slotsForLongCalls(Instant now, const CallAttributes &attributes) const
 {
-    double quickLoad = 0;
-    const double run = toSeconds(this->usualRun(now, facts));
+    double quickSlotUse = 0;
+    const double runTime = toSeconds(this->meanRunTime(now, attributes));
     for (const auto &[id, kind] : this->kinds) {
-        if (kind.priority <= facts.priority && kind.mean * longRuns < run)
-            quickLoad += this->recentLoad(now, kind);
+        if (kind.priority <= attributes.priority && kind.mean * longRunFactor < runTime)
+            quickSlotUse += this->recentSlotUse(now, kind);
     }
-    const double spare = spareDeviations * std::sqrt(quickLoad);
-    const double left = std::ceil(this->slots - quickLoad - spare);
-    return left < 1 ? 1 : static_cast<std::uint32_t>(left);
+    const double reserve = reserveDeviations * std::sqrt(quickSlotUse);
+    const double remaining = std::ceil(this->slots - quickSlotUse - reserve);
+    return remaining < 1 ? 1 : static_cast<std::uint32_t>(remaining);
 }
 
-bool TargetGate::leavesReserve(Instant now, const CallAttributes &facts) const
+bool TargetGate::fitsLongCallLimit(Instant now, const CallAttributes &attributes) const
 {
-    if (!this->isLong(now, facts))
+    if (!this->isLongRunning(now, attributes))
         return true;
-    const double run = toSeconds(this->usualRun(now, facts));
-    const auto holding =
-        std::count_if(this->runningCalls.begin(), this->runningCalls.end(), [&](const Running &call) {
-            const Kind *kind = this->find(call.kind);
-            return kind != nullptr && kind->mean * longRuns > run;
+    const double runTime = toSeconds(this->meanRunTime(now, attributes));
+    const auto longCallsRunning =
+        std::count_if(this->runningCalls.begin(), this->runningCalls.end(), [&](const RunningCall &call) {
+            const KindStatistics *kind = this->findKind(call.kind);
+            return kind != nullptr && kind->mean * longRunFactor > runTime;
         });
-    return holding < static_cast<std::ptrdiff_t>(this->slotsForLong(now, facts));
+    return longCallsRunning < static_cast<std::ptrdiff_t>(this->slotsForLongCalls(now, attributes));
 }
 
-// Slots that the kind's calls took lately, on average. What was offered says less: a call that several gates
-// refuse is offered to each of them.
-double TargetGate::recentLoad(Instant now, const Kind &kind) const
+// The mean number of slots that calls of the kind recently used. Started calls are counted, because a call
+// that several gates refuse is offered to each of them.
+double TargetGate::recentSlotUse(Instant now, const KindStatistics &kind) const
 {
-    return kind.mean * kind.started * std::exp(-toSeconds(now - kind.fadedAt) / window) / window;
+    return kind.mean * kind.started * std::exp(-toSeconds(now - kind.decayedAt) / countWindowSeconds)
+           / countWindowSeconds;
 }
 
-bool TargetGate::mayStartNow(Instant now, const CallAttributes &facts) const
+bool TargetGate::mayStartNow(Instant now, const CallAttributes &attributes) const
 {
-    if (this->freeSlots() == 0 || !this->leavesReserve(now, facts))
+    if (this->freeSlots() == 0 || !this->fitsLongCallLimit(now, attributes))
         return false;
-    const Rank own = this->rankOf(now, facts, this->nextTicket);
-    return std::none_of(this->waitingCalls.begin(), this->waitingCalls.end(), [&](const Waiting &call) {
-        return this->leavesReserve(now, call.facts)
-               && ranksBefore(this->rankOf(now, call.facts, call.ticket), own);
+    const Rank own = this->rankOf(now, attributes, this->nextTicket);
+    return std::none_of(this->queuedCalls.begin(), this->queuedCalls.end(), [&](const QueuedCall &call) {
+        return this->fitsLongCallLimit(now, call.attributes)
+               && ranksBefore(this->rankOf(now, call.attributes, call.ticket), own);
     });
 }
 
-// Of the slots' time lately, by kinds that go before the rank. The part that quick kinds take of the slots
-// has been taken off already for a long call.
-double TargetGate::shareAhead(Instant now, const CallAttributes &facts, const Rank &rank) const
+// The share of the recent slot time used by kinds that rank before the call. For a long call, the slots that
+// quick kinds use are already deducted from its slots.
+double TargetGate::shareOfHigherRanks(Instant now, const CallAttributes &attributes, const Rank &rank) const
 {
     if (rank.starved)
         return 0;
-    const bool isLong = this->isLong(now, facts);
-    const double run = toSeconds(this->usualRun(now, facts));
+    const bool longRunning = this->isLongRunning(now, attributes);
+    const double runTime = toSeconds(this->meanRunTime(now, attributes));
     double load = 0;
     for (const auto &[id, kind] : this->kinds) {
-        const bool ahead = rank.late || kind.priority < rank.priority
-                           || (kind.priority == rank.priority && now + kind.turnAfter < rank.turn);
-        if (ahead && !(isLong && kind.mean * longRuns <= run))
-            load += this->recentLoad(now, kind);
+        const bool ranksAhead =
+            rank.late || kind.priority < rank.priority
+            || (kind.priority == rank.priority && now + kind.startByOffset < rank.startBy);
+        if (ranksAhead && !(longRunning && kind.mean * longRunFactor <= runTime))
+            load += this->recentSlotUse(now, kind);
     }
-    const double slots = isLong ? this->slotsForLong(now, facts) : std::max(1U, this->slots);
-    return std::min(mostShareAhead, load / slots);
+    const double slots = longRunning ? this->slotsForLongCalls(now, attributes) : std::max(1U, this->slots);
+    return std::min(maximumShareAhead, load / slots);
 }
 
-// Whether all that is in time leaves next to nothing for late calls.
-bool TargetGate::lateIsHopeless(Instant now, const CallAttributes &facts) const
+// Whether calls that can meet their targets leave almost no slots for late ones.
+bool TargetGate::leavesNoRoomForLate(Instant now, const CallAttributes &attributes) const
 {
-    CallAttributes late = facts;
-    late.target = now - 1h;
-    return this->shareAhead(now, late, this->rankOf(now, late, this->nextTicket)) >= hopelessShare;
+    CallAttributes lateAttributes = attributes;
+    lateAttributes.target = now - 1h;
+    return this->shareOfHigherRanks(now, lateAttributes, this->rankOf(now, lateAttributes, this->nextTicket))
+           >= noRoomForLateShare;
 }
 
-// Whether a long call waits for one of the slots that are kept for such and goes before the rank.
-bool TargetGate::longOnesGoBefore(Instant now, const Rank &rank) const
+// Whether a queued long call ranks before `rank`; it waits for one of the slots for long calls.
+bool TargetGate::longCallRanksBefore(Instant now, const Rank &rank) const
 {
-    return std::any_of(this->waitingCalls.begin(), this->waitingCalls.end(), [&](const Waiting &call) {
-        return this->isLong(now, call.facts) && ranksBefore(this->rankOf(now, call.facts, call.ticket), rank);
+    return std::any_of(this->queuedCalls.begin(), this->queuedCalls.end(), [&](const QueuedCall &call) {
+        return this->isLongRunning(now, call.attributes)
+               && ranksBefore(this->rankOf(now, call.attributes, call.ticket), rank);
     });
 }
 
-// The slots as they get free, taken one after the other by the calls that go first. What comes of a higher
-// rank meanwhile goes ahead too: the wait is stretched by the share that such calls took lately. Long calls
-// wait for each other only, in the slots that are theirs; those that wait take no others, however many they
-// are.
+// Simulates the slots as they become free and are taken by the queued calls in rank order. Calls of higher
+// rank that arrive meanwhile go first as well, so the wait is stretched by the share of the slots that such
+// calls used recently. Long calls wait only for each other, in the slots for long calls; however many are
+// queued, they take no other slots.
 //
-// Load: 16 calls of 160 ms wait and go first, five of six slots are left to calls of 10 ms. Harm of counting
-// the 16 into each wait: four in ten of the quick calls are refused, although those let in wait for 6 ms.
-Duration TargetGate::expectedWait(Instant now, const CallAttributes &facts) const
+// If all queued long calls were counted in the wait of quick ones, four in ten quick calls would be refused
+// in a case where 16 calls of 160 ms are queued ahead of calls of 10 ms that have five of six slots, although
+// the admitted ones wait for only 6 ms.
+Duration TargetGate::expectedWait(Instant now, const CallAttributes &attributes) const
 {
-    if (this->mayStartNow(now, facts))
+    if (this->mayStartNow(now, attributes))
         return Duration::zero();
-    const bool isLong = this->isLong(now, facts);
-    const double run = toSeconds(this->usualRun(now, facts));
-    const std::size_t slots = isLong ? this->slotsForLong(now, facts) : std::max(1U, this->slots);
-    const Rank own = this->rankOf(now, facts, this->nextTicket);
-    const bool handedOn = !isLong && this->longOnesGoBefore(now, own);
-    std::vector<double> free;
-    std::size_t taken = 0; // Slots that pass from one long call to the next.
-    for (const Running &call : this->runningCalls) {
-        const Kind *kind = this->find(call.kind);
-        const double mean = kind == nullptr || kind->mean == 0 ? toSeconds(firstGuess) : kind->mean;
-        if (handedOn && mean > longRuns * run)
-            ++taken;
-        // A run that has outlived the usual one goes on for a while: run times have long tails.
-        else if (!isLong || mean * longRuns > run)
-            free.push_back(std::max(mean - toSeconds(now - call.startedAt), leastRemaining * mean));
+    const bool longRunning = this->isLongRunning(now, attributes);
+    const double runTime = toSeconds(this->meanRunTime(now, attributes));
+    const std::size_t slots =
+        longRunning ? this->slotsForLongCalls(now, attributes) : std::max(1U, this->slots);
+    const Rank own = this->rankOf(now, attributes, this->nextTicket);
+    const bool longCallsTakeSlots = !longRunning && this->longCallRanksBefore(now, own);
+    std::vector<double> slotFreeAfter;
+    std::size_t slotsOfLongCalls = 0; // Slots that pass from one long call to the next.
+    for (const RunningCall &call : this->runningCalls) {
+        const KindStatistics *kind = this->findKind(call.kind);
+        const double mean = kind == nullptr || kind->mean == 0 ? toSeconds(initialRunTime) : kind->mean;
+        if (longCallsTakeSlots && mean > longRunFactor * runTime)
+            ++slotsOfLongCalls;
+        // A call that has exceeded its mean run time goes on for a while, since run times have a long tail.
+        else if (!longRunning || mean * longRunFactor > runTime)
+            slotFreeAfter.push_back(
+                std::max(mean - toSeconds(now - call.startedAt), minimumRemainingShare * mean));
     }
-    free.resize(std::max({slots - std::min(slots, taken), free.size(), std::size_t{1}}), 0.0);
+    slotFreeAfter.resize(
+        std::max({slots - std::min(slots, slotsOfLongCalls), slotFreeAfter.size(), std::size_t{1}}), 0.0);
     const auto later = [](double left, double right) { return left > right; };
-    std::make_heap(free.begin(), free.end(), later);
-    for (const Waiting &call : this->waitingCalls) {
-        const double needs = toSeconds(this->usualRun(now, call.facts));
-        const bool another = (isLong && needs * longRuns <= run) || (handedOn && needs > longRuns * run);
-        if (another || !ranksBefore(this->rankOf(now, call.facts, call.ticket), own))
+    std::make_heap(slotFreeAfter.begin(), slotFreeAfter.end(), later);
+    for (const QueuedCall &call : this->queuedCalls) {
+        const double runTimeOfQueued = toSeconds(this->meanRunTime(now, call.attributes));
+        const bool usesOtherSlots = (longRunning && runTimeOfQueued * longRunFactor <= runTime)
+                                    || (longCallsTakeSlots && runTimeOfQueued > longRunFactor * runTime);
+        if (usesOtherSlots || !ranksBefore(this->rankOf(now, call.attributes, call.ticket), own))
             continue;
-        std::pop_heap(free.begin(), free.end(), later);
-        free.back() += needs;
-        std::push_heap(free.begin(), free.end(), later);
+        std::pop_heap(slotFreeAfter.begin(), slotFreeAfter.end(), later);
+        slotFreeAfter.back() += runTimeOfQueued;
+        std::push_heap(slotFreeAfter.begin(), slotFreeAfter.end(), later);
     }
-    return fromSeconds(free.front() / (1.0 - this->shareAhead(now, facts, own)));
+    return fromSeconds(slotFreeAfter.front() / (1.0 - this->shareOfHigherRanks(now, attributes, own)));
 }
 
 } // namespace Sagecrank
--- a/Services/Node/Callers/UpstreamView.cpp
+++ b/Services/Node/Callers/UpstreamView.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// A suspect is still used: the placer avoids it by what its own calls show, and one lost probe shall not take
-// an upstream out everywhere. A node that is dead or has left takes no calls.
+// A suspect is still used: the load balancer avoids it by what its own calls show, and one lost probe shall
+// not take an upstream out everywhere. A node that is dead or has left takes no calls.
 UpstreamCondition conditionOfMember(const Member &member)
 {
     if (member.state == MemberState::Dead || member.state == MemberState::Left)
--- a/Tests/LibDecide/TargetLoad.h
+++ b/Tests/LibDecide/TargetLoad.h
@@ -1,5 +1,5 @@
-// Plays a load of calls with targets against one gate, without sockets or clocks, and counts what callers
-// got.
+// Simulates calls with latency targets against one gate, without sockets or clocks, and counts the outcomes
+// for callers.
 #pragma once
 
 #include <LibDecide/Admission.h>
@@ -31,7 +31,7 @@
     int inTime = 0;
     int late = 0;
     int refused = 0;
-    int refusedAfterTarget = 0; // Of the refused: held in vain for longer than an answer is worth most.
+    int refusedAfterTarget = 0; // Refused only after the target had passed.
 
     double inTimeShare() const { return this->offered == 0 ? 1 : double(this->inTime) / this->offered; }
     double servedShare() const
@@ -40,8 +40,8 @@
     }
 };
 
-// What refused callers do, and whether the gate is told that they came before.
-enum class Return : std::uint8_t { Never, TakenForNew, Recognised };
+// Whether refused callers retry, and whether the gate is told that they have been refused before.
+enum class RetryMode : std::uint8_t { Never, AsNewCall, AsRetry };
 
 class TargetLoad
 {
@@ -55,20 +55,20 @@
         this->gate.setState(this->now, UpstreamCondition::Ready, slots, actions);
     }
 
-    // Offers all kinds for this long, then lets what is inside end.
-    std::map<std::string, LoadOutcome> play(const std::vector<LoadKind> &kinds, Duration length)
+    // Offers calls of all kinds for this long, then runs until all calls have ended.
+    std::map<std::string, LoadOutcome> run(const std::vector<LoadKind> &kinds, Duration length)
     {
         const Instant end = this->now + length;
         for (std::size_t kind = 0; kind < kinds.size(); ++kind)
-            this->arriveLater(kinds[kind], kind);
+            this->scheduleArrival(kinds[kind], kind);
         while (!this->events.empty()) {
             const Event event = this->events.top();
             this->events.pop();
             this->now = event.at;
-            if (event.ends)
+            if (event.isEnd)
                 this->end(event.ticket, kinds);
-            else if (event.returned)
-                this->offer(kinds[event.kind], event.kind, kinds, event.firstCame);
+            else if (event.isRetry)
+                this->offer(kinds[event.kind], event.kind, kinds, event.firstArrivedAt);
             else if (this->now < end)
                 this->arrive(kinds[event.kind], event.kind, kinds);
             this->advance(kinds);
@@ -76,20 +76,21 @@
         return this->outcomes;
     }
 
-    bool offersAgainForLate = false; // As senders do that know no other gate.
-    Return returns = Return::Never;  // Once, when they were told to.
-    std::uint32_t mostRunning = 0;
-    int open = 0; // Tickets given out and not ended.
+    // Offers a call again with lateAccepted, as senders do that know no other gate.
+    bool offersAgainAcceptingLate = false;
+    RetryMode retryMode = RetryMode::Never; // Each refused caller retries once, at the time it was told.
+    std::uint32_t maximumRunning = 0;
+    int openTickets = 0; // Tickets that have not ended.
 
 private:
     struct Event
     {
         Instant at;
-        bool ends = false;
+        bool isEnd = false;
         std::size_t kind = 0;
         Ticket ticket = 0;
-        bool returned = false;
-        Instant firstCame{};
+        bool isRetry = false;
+        Instant firstArrivedAt{};
 
         bool operator<(const Event &other) const { return this->at > other.at; }
     };
@@ -97,9 +98,9 @@
     struct Call
     {
         std::size_t kind = 0;
-        Instant firstCame;
-        Instant target; // As its caller counts.
-        bool returned = false;
+        Instant firstArrivedAt;
+        Instant target; // As the caller measures it, from the first attempt.
+        bool isRetry = false;
     };
 
     double uniform() { return std::uniform_real_distribution<double>(1e-9, 1.0)(this->random); }
@@ -116,7 +117,7 @@
         return seconds(std::lognormal_distribution<double>(mu, sigma)(this->random));
     }
 
-    void arriveLater(const LoadKind &kind, std::size_t index)
+    void scheduleArrival(const LoadKind &kind, std::size_t index)
     {
         this->events.push(
             {this->now + seconds(-std::log(this->uniform()) / kind.perSecond), false, index, 0});
@@ -124,45 +125,48 @@
 
     void arrive(const LoadKind &kind, std::size_t index, const std::vector<LoadKind> &kinds)
     {
-        this->arriveLater(kind, index);
+        this->scheduleArrival(kind, index);
         ++this->outcomes[kind.name].offered;
         this->offer(kind, index, kinds, this->now);
     }
 
-    // An answer counts as in time from the first try on, whatever the gate is told.
-    void offer(const LoadKind &kind, std::size_t index, const std::vector<LoadKind> &kinds, Instant firstCame)
+    // The outcome is measured from the first attempt, whatever the gate is told.
+    void offer(const LoadKind &kind, std::size_t index, const std::vector<LoadKind> &kinds,
+               Instant firstArrivedAt)
     {
-        const bool returned = firstCame != this->now;
-        CallAttributes facts;
-        facts.kind = index + 1;
-        facts.priority = kind.priority;
-        facts.target = (this->returns == Return::Recognised ? firstCame : this->now) + kind.target;
-        facts.deadline = firstCame + kind.deadline;
+        const bool isRetry = firstArrivedAt != this->now;
+        CallAttributes attributes;
+        attributes.kind = index + 1;
+        attributes.priority = kind.priority;
+        attributes.target =
+            (this->retryMode == RetryMode::AsRetry ? firstArrivedAt : this->now) + kind.target;
+        attributes.deadline = firstArrivedAt + kind.deadline;
         std::vector<GateAction> actions;
-        GateDecision decision = this->gate.offer(this->now, facts, actions);
-        if (this->offersAgainForLate && decision.reason == RefusalReason::TargetTooNear) {
-            facts.lateAccepted = true;
-            decision = this->gate.offer(this->now, facts, actions);
+        GateDecision decision = this->gate.offer(this->now, attributes, actions);
+        if (this->offersAgainAcceptingLate && decision.reason == RefusalReason::TargetTooNear) {
+            attributes.lateAccepted = true;
+            decision = this->gate.offer(this->now, attributes, actions);
         }
         if (decision.verdict == GateVerdict::Refuse) {
-            this->refuse({index, firstCame, firstCame + kind.target, returned}, kinds, decision.retryAfter);
+            this->refuse({index, firstArrivedAt, firstArrivedAt + kind.target, isRetry}, kinds,
+                         decision.retryAfter);
         } else {
-            ++this->open;
-            this->calls[decision.ticket] = {index, firstCame, firstCame + kind.target, returned};
+            ++this->openTickets;
+            this->calls[decision.ticket] = {index, firstArrivedAt, firstArrivedAt + kind.target, isRetry};
             if (decision.verdict == GateVerdict::Start)
                 this->start(decision.ticket, kind);
         }
         this->perform(actions, kinds);
     }
 
-    // Callers wait as told, but at most a third of the time that they have left.
+    // Callers wait as told, but for at most a third of their remaining time.
     void refuse(const Call &call, const std::vector<LoadKind> &kinds, Duration retryAfter)
     {
         const LoadKind &kind = kinds[call.kind];
-        const Duration left = call.firstCame + kind.deadline - this->now;
-        if (this->returns != Return::Never && !call.returned && left > Duration::zero()) {
-            this->events.push(
-                {this->now + std::min(retryAfter, left / 3), false, call.kind, 0, true, call.firstCame});
+        const Duration remaining = call.firstArrivedAt + kind.deadline - this->now;
+        if (this->retryMode != RetryMode::Never && !call.isRetry && remaining > Duration::zero()) {
+            this->events.push({this->now + std::min(retryAfter, remaining / 3), false, call.kind, 0, true,
+                               call.firstArrivedAt});
             return;
         }
         LoadOutcome &outcome = this->outcomes[kind.name];
@@ -173,7 +177,7 @@
     void start(Ticket ticket, const LoadKind &kind)
     {
         ++this->running;
-        this->mostRunning = std::max(this->mostRunning, this->running);
+        this->maximumRunning = std::max(this->maximumRunning, this->running);
         this->events.push({this->now + this->runTime(kind), true, 0, ticket});
     }
 
@@ -181,7 +185,7 @@
     {
         const Call call = this->calls.at(ticket);
         this->calls.erase(ticket);
-        --this->open;
+        --this->openTickets;
         --this->running;
         LoadOutcome &outcome = this->outcomes[kinds[call.kind].name];
         ++(this->now <= call.target ? outcome.inTime : outcome.late);
@@ -211,7 +215,7 @@
             }
             this->refuse(call, kinds, action.retryAfter);
             this->calls.erase(action.ticket);
-            --this->open;
+            --this->openTickets;
         }
     }
 
--- a/Tests/LibDecide/TestBodyGrants.cpp
+++ b/Tests/LibDecide/TestBodyGrants.cpp
@@ -1,4 +1,4 @@
-// Which large bodies may cross a link at a time, and in which order the others follow.
+// Which large bodies are granted at a time, and the order in which the queued ones follow.
 #include <LibDecide/BodyGrants.h>
 
 #include <Support/TableTest.h>
@@ -12,8 +12,8 @@
 
 namespace {
 
-// A link of 1000 bytes a second carries 300 ahead.
-BodyGrants smallLink(std::size_t maximumQueued = 256)
+// A link of 1000 bytes a second, so 300 bytes may be in flight.
+BodyGrants makeSmallLink(std::size_t maximumQueued = 256)
 {
     BodyGrantSettings settings;
     settings.bytesPerSecond = 1000;
@@ -21,19 +21,19 @@
     return BodyGrants(settings);
 }
 
-using Names = std::vector<BodyGrants::BodyId>;
+using BodyIds = std::vector<BodyGrants::BodyId>;
 
 struct OrderRow
 {
     const char *what;
-    std::vector<std::uint32_t> priorities; // Of those that wait, by arrival, with names from 1 on.
-    Names turns;
+    std::vector<std::uint32_t> priorities; // Of the queued bodies by arrival; their ids count from 1.
+    BodyIds granted;
 };
 
 const OrderRow orderRows[] = {
-    {"equals go by arrival", {1, 1, 1}, {1, 2, 3}},
-    {"an urgent one that comes last goes first", {2, 1, 0}, {3, 2, 1}},
-    {"an urgent one goes behind its equals", {1, 0, 1, 0}, {2, 4, 1, 3}},
+    {"equal priorities in order of arrival", {1, 1, 1}, {1, 2, 3}},
+    {"a later body of higher priority goes first", {2, 1, 0}, {3, 2, 1}},
+    {"behind earlier bodies of the same priority", {1, 0, 1, 0}, {2, 4, 1, 3}},
 };
 
 struct FitRow
@@ -45,19 +45,19 @@
 };
 
 const FitRow fitRows[] = {
-    {"a link that is not told grants all",
+    {"an unlimited link grants everything",
      0,
      {1 << 20, 1 << 20},
      {BodyGrantResult::Granted, BodyGrantResult::Granted}},
-    {"up to what the link carries ahead",
+    {"up to the in-flight limit",
      1000,
      {100, 200, 1},
      {BodyGrantResult::Granted, BodyGrantResult::Granted, BodyGrantResult::Queued}},
-    {"one alone may be larger than that",
+    {"a single body may exceed the limit",
      1000,
      {5000, 1},
      {BodyGrantResult::Granted, BodyGrantResult::Queued}},
-    {"a small one does not overtake",
+    {"a small body does not overtake",
      1000,
      {250, 100, 10},
      {BodyGrantResult::Granted, BodyGrantResult::Queued, BodyGrantResult::Queued}},
@@ -67,7 +67,7 @@
 
 } // namespace
 
-TABLE_TEST(bodyGrants, grantsWhatTheLinkCarriesAhead, fitRows)
+TABLE_TEST(bodyGrants, grantsUpToTheInFlightLimit, fitRows)
 {
     BodyGrantSettings settings;
     settings.bytesPerSecond = row.bytesPerSecond;
@@ -77,46 +77,46 @@
                   row.what);
 }
 
-TABLE_TEST(bodyGrants, turnsGoByPriorityThenArrival, orderRows)
+TABLE_TEST(bodyGrants, grantsByPriorityThenArrival, orderRows)
 {
-    BodyGrants grants = smallLink();
+    BodyGrants grants = makeSmallLink();
     const Instant now{};
     cr_assert(grants.request(now, 100, 300, 1) == BodyGrantResult::Granted);
-    BodyGrants::BodyId name = 0;
+    BodyGrants::BodyId id = 0;
     for (const std::uint32_t priority : row.priorities)
-        cr_assert(grants.request(now, ++name, 300, priority) == BodyGrantResult::Queued);
-    Names turns;
-    BodyGrants::BodyId under = 100;
+        cr_assert(grants.request(now, ++id, 300, priority) == BodyGrantResult::Queued);
+    BodyIds granted;
+    BodyGrants::BodyId current = 100;
     while (grants.queued() > 0) {
         cr_assert(grants.advance(now).empty());
-        grants.release(under);
-        const Names next = grants.advance(now);
+        grants.release(current);
+        const BodyIds next = grants.advance(now);
         cr_assert(next.size() == 1, "%s", row.what);
-        under = next[0];
-        turns.push_back(under);
+        current = next[0];
+        granted.push_back(current);
     }
-    cr_assert(turns == row.turns, "%s", row.what);
+    cr_assert(granted == row.granted, "%s", row.what);
 }
 
-// A sender dies after its grant. What waits behind it goes on once the grant has lived its time, and the end
-// of the dead one's call frees nothing twice.
-Test(bodyGrants, aGrantWhoseBodyDoesNotComeExpires)
+// A sender dies after its grant. The queued body is granted when that grant expires, and ending the dead
+// sender's call later does not free its bytes twice.
+Test(bodyGrants, unusedGrantExpires)
 {
-    BodyGrants grants = smallLink();
+    BodyGrants grants = makeSmallLink();
     const Instant now{};
     cr_assert(grants.request(now, 1, 300, 1) == BodyGrantResult::Granted);
     cr_assert(grants.request(now, 2, 300, 1) == BodyGrantResult::Queued);
     const Instant expiry = grants.nextExpiry().value();
     cr_assert(grants.advance(expiry - 1ms).empty());
-    cr_assert(grants.advance(expiry) == Names{2});
+    cr_assert(grants.advance(expiry) == BodyIds{2});
     grants.release(1);
     cr_assert(grants.request(expiry, 3, 1, 1) == BodyGrantResult::Queued);
 }
 
-// A caller gives up while its body waits: its turn goes to the next.
-Test(bodyGrants, oneThatGivesUpLeavesTheLine)
+// A caller gives up while its body is queued, so the next body is granted instead.
+Test(bodyGrants, cancelledBodyLeavesTheQueue)
 {
-    BodyGrants grants = smallLink();
+    BodyGrants grants = makeSmallLink();
     const Instant now{};
     cr_assert(grants.request(now, 1, 300, 1) == BodyGrantResult::Granted);
     cr_assert(grants.request(now, 2, 300, 1) == BodyGrantResult::Queued);
@@ -125,13 +125,13 @@
     cr_assert(grants.expectedDelay(300, 0) == 600ms);
     grants.release(2);
     grants.release(1);
-    cr_assert(grants.advance(now) == Names{3});
+    cr_assert(grants.advance(now) == BodyIds{3});
 }
 
-// More ask than the line holds: they are turned away and the line stays as it is.
-Test(bodyGrants, theLineIsBounded)
+// Requests beyond the queue's capacity are rejected and leave the queue unchanged.
+Test(bodyGrants, queueIsBounded)
 {
-    BodyGrants grants = smallLink(2);
+    BodyGrants grants = makeSmallLink(2);
     const Instant now{};
     cr_assert(grants.request(now, 1, 300, 1) == BodyGrantResult::Granted);
     cr_assert(grants.request(now, 2, 300, 1) == BodyGrantResult::Queued);
@@ -140,32 +140,32 @@
     cr_assert(grants.queued() == 2);
 }
 
-// Whatever is asked, ended and let expire: never more under way than the link carries ahead unless it is one
-// body alone, each is granted once at most, and nothing waits while there is room for it.
-TABLE_TEST(bodyGrants, holdsItsBoundWhateverComes, seeds)
+// For any sequence of requests, releases and expiries: the granted bytes stay within the limit unless there
+// is only one body, each body is granted at most once, and no body waits while nothing is granted.
+TABLE_TEST(bodyGrants, invariantsHoldUnderRandomOperations, seeds)
 {
     std::mt19937_64 random(row);
-    BodyGrants grants = smallLink(16);
+    BodyGrants grants = makeSmallLink(16);
     Instant now{};
     std::vector<std::uint64_t> bytes(1, 0);
     std::set<BodyGrants::BodyId> granted;
     std::set<BodyGrants::BodyId> waiting;
     std::set<BodyGrants::BodyId> everGranted;
-    const auto note = [&](BodyGrants::BodyId name) {
-        waiting.erase(name);
-        granted.insert(name);
-        cr_assert(everGranted.insert(name).second);
+    const auto note = [&](BodyGrants::BodyId id) {
+        waiting.erase(id);
+        granted.insert(id);
+        cr_assert(everGranted.insert(id).second);
     };
     for (int step = 0; step < 5000; ++step) {
         now += std::chrono::milliseconds(random() % 20);
-        const BodyGrants::BodyId name = bytes.size();
+        const BodyGrants::BodyId id = bytes.size();
         bytes.push_back(1 + random() % 400);
-        const BodyGrantResult answer = grants.request(now, name, bytes[name], random() % 3);
+        const BodyGrantResult answer = grants.request(now, id, bytes[id], random() % 3);
         if (answer == BodyGrantResult::Granted)
-            note(name);
+            note(id);
         if (answer == BodyGrantResult::Queued)
-            waiting.insert(name);
-        const BodyGrants::BodyId ended = 1 + random() % name;
+            waiting.insert(id);
+        const BodyGrants::BodyId ended = 1 + random() % id;
         grants.release(ended);
         granted.erase(ended);
         waiting.erase(ended);
@@ -180,10 +180,10 @@
             for (const BodyGrants::BodyId turn : grants.advance(now))
                 note(turn);
         }
-        std::uint64_t under = 0;
+        std::uint64_t current = 0;
         for (const BodyGrants::BodyId known : granted)
-            under += bytes[known];
-        cr_assert(under <= 300 || granted.size() == 1);
+            current += bytes[known];
+        cr_assert(current <= 300 || granted.size() == 1);
         cr_assert(waiting.empty() || !granted.empty());
     }
 }
--- a/Tests/LibDecide/TestCrashQuarantine.cpp
+++ b/Tests/LibDecide/TestCrashQuarantine.cpp
@@ -1,4 +1,4 @@
-// Which requests are kept from upstreams, and which broken connections count as a crash.
+// Which requests are quarantined, and which broken connections count as a crash.
 #include <LibDecide/CrashQuarantine.h>
 
 #include <Support/TableTest.h>
@@ -14,14 +14,14 @@
 
 const Instant start = Instant() + std::chrono::hours(1);
 
-struct VerdictRow
+struct QuarantineRow
 {
     const char *what;
-    std::vector<CrashReportState> reports; // Of crashes one after the other, one second apart.
+    std::vector<CrashReportState> reports; // One for each crash; their expiries are one second apart.
     bool refused;
 };
 
-const VerdictRow verdictRows[] = {
+const QuarantineRow quarantineRows[] = {
     {"nothing is known", {}, false},
     {"two crashes", {CrashReportState::Crashed, CrashReportState::Crashed}, false},
     {"three crashes", {3, CrashReportState::Crashed}, true},
@@ -34,36 +34,39 @@
      true},
 };
 
-enum class Step : std::uint8_t { Break, Answer, End };
+enum class Step : std::uint8_t { Break, Answer, Exit };
 
-struct WitnessRow
+struct DetectorRow
 {
     const char *what;
-    std::vector<std::pair<Step, Milliseconds>> steps; // An answer is to a call that was sent at its time.
-    std::size_t reported;                             // Requests, at the last end.
+    std::vector<std::pair<Step, Milliseconds>> steps; // The time of an answer is when its call was sent.
+    std::size_t reported;                             // Requests returned at the last exit.
 };
 
-const WitnessRow witnessRows[] = {
-    {"it ends after the connection broke", {{Step::Break, Milliseconds(0)}, {Step::End, Milliseconds(5)}}, 1},
+const DetectorRow detectorRows[] = {
+    {"it exits after the connection broke",
+     {{Step::Break, Milliseconds(0)}, {Step::Exit, Milliseconds(5)}},
+     1},
     {"two calls ran",
-     {{Step::Break, Milliseconds(0)}, {Step::Break, Milliseconds(1)}, {Step::End, Milliseconds(5)}},
+     {{Step::Break, Milliseconds(0)}, {Step::Break, Milliseconds(1)}, {Step::Exit, Milliseconds(5)}},
      2},
     {"only the connection broke",
-     {{Step::Break, Milliseconds(0)}, {Step::Answer, Milliseconds(5)}, {Step::End, Milliseconds(90)}},
+     {{Step::Break, Milliseconds(0)}, {Step::Answer, Milliseconds(5)}, {Step::Exit, Milliseconds(90)}},
      0},
-    {"an answer was on its way when it ended",
-     {{Step::Break, Milliseconds(10)}, {Step::Answer, Milliseconds(5)}, {Step::End, Milliseconds(90)}},
+    {"an answer was in transit when it exited",
+     {{Step::Break, Milliseconds(10)}, {Step::Answer, Milliseconds(5)}, {Step::Exit, Milliseconds(90)}},
      1},
-    {"it ended long after", {{Step::Break, Milliseconds(0)}, {Step::End, Milliseconds(11'000)}}, 0},
-    {"it is found gone twice",
-     {{Step::Break, Milliseconds(0)}, {Step::End, Milliseconds(5)}, {Step::End, Milliseconds(6)}},
+    {"it exited long after", {{Step::Break, Milliseconds(0)}, {Step::Exit, Milliseconds(11'000)}}, 0},
+    {"its exit is seen twice",
+     {{Step::Break, Milliseconds(0)}, {Step::Exit, Milliseconds(5)}, {Step::Exit, Milliseconds(6)}},
      0},
 };
 
 } // namespace
 
-// A request ends one upstream after the other: it must be refused, and one that ran beside it must not.
-TABLE_TEST(crashQuarantine, refusesWhatRanAtEachCrash, verdictRows)
+// A request that crashes one upstream after another must be refused, and one that ran next to it once must
+// not.
+TABLE_TEST(crashQuarantine, refusesRequestRunningAtEveryCrash, quarantineRows)
 {
     constexpr RequestFingerprint request = 7;
     std::vector<CrashReport> reports;
@@ -76,8 +79,8 @@
     cr_assert(quarantine.refusedRequests().size() == (row.refused ? 1 : 0));
 }
 
-// The refusal ends when too few of the crashes are still held against the request.
-Test(crashQuarantine, endsWithTheCrashesItRestsOn)
+// The refusal ends when too few crashes of the request are left.
+Test(crashQuarantine, endsWhenTooFewCrashesRemain)
 {
     std::vector<CrashReport> reports;
     for (std::uint64_t crash = 0; crash < 4; ++crash)
@@ -88,19 +91,19 @@
     cr_assert(!quarantine.refusedUntil(7, start + minutes(2)));
 }
 
-// A lost answer or a reset connection must not pass for a crash.
-TABLE_TEST(crashWitness, tellsACrashFromABrokenConnection, witnessRows)
+// A lost answer or a reset connection must not count as a crash.
+TABLE_TEST(crashDetector, distinguishesCrashFromBrokenConnection, detectorRows)
 {
-    CrashDetector witness;
+    CrashDetector detector;
     std::size_t reported = 0;
     RequestFingerprint request = 0;
     for (const auto &[step, at] : row.steps) {
         if (step == Step::Break)
-            witness.recordBrokenConnection(start + at, ++request);
+            detector.recordBrokenConnection(start + at, ++request);
         if (step == Step::Answer)
-            witness.recordAnswer(start + at);
-        if (step == Step::End)
-            reported = witness.recordUpstreamExit(start + at).size();
+            detector.recordAnswer(start + at);
+        if (step == Step::Exit)
+            reported = detector.recordUpstreamExit(start + at).size();
     }
     cr_assert(reported == row.reported, "%s", row.what);
 }
--- a/Tests/LibDecide/TestGate.cpp
+++ b/Tests/LibDecide/TestGate.cpp
@@ -1,4 +1,4 @@
-// What the gate says to single calls: start, wait, or not now and when to come back.
+// Decisions of the gate on single calls: start, queue, or refuse with a retry delay.
 #include <LibDecide/Gate.h>
 
 #include <Support/TableTest.h>
@@ -15,9 +15,9 @@
 
 constexpr Instant begin{};
 
-CallAttributes call(CallClass callClass, Duration patience, Instant now = begin)
+CallAttributes call(CallClass callClass, Duration timeout, Instant now = begin)
 {
-    return CallAttributes{callClass, now + patience};
+    return CallAttributes{callClass, now + timeout};
 }
 
 Gate readyGate(std::uint32_t slots, std::uint32_t maximumQueue = 64)
@@ -28,8 +28,8 @@
     return gate;
 }
 
-// Runs calls of the class one after the other, so that the gate learns how long they take.
-Instant teach(Gate &gate, CallClass callClass, Duration runTime)
+// Runs calls of the class one after another, so that the gate learns their run time.
+Instant learnRunTime(Gate &gate, CallClass callClass, Duration runTime)
 {
     Instant now = begin;
     for (int round = 0; round < 100; ++round) {
@@ -56,7 +56,7 @@
 
 struct ClassPairRow
 {
-    CallClass first; // Goes first although it came later.
+    CallClass first; // Starts first although it arrived later.
     CallClass second;
 };
 
@@ -67,7 +67,7 @@
 
 } // namespace
 
-TABLE_TEST(gate, saysAtOnceThatAnAbsentUpstreamTakesNothing, refusalRows)
+TABLE_TEST(gate, refusesAtOnceIfUpstreamIsUnavailable, refusalRows)
 {
     Gate gate(GateSettings{4, 64, 7});
     Actions actions;
@@ -79,7 +79,7 @@
     cr_assert(!gate.wouldAdmit(begin, call(CallClass::Interactive, 1s)));
 }
 
-TABLE_TEST(gate, startsTheUrgentClassFirst, classPairRows)
+TABLE_TEST(gate, startsClassOfHigherPrecedenceFirst, classPairRows)
 {
     Gate gate = readyGate(1);
     Actions actions;
@@ -94,12 +94,12 @@
     cr_assert_eq(actions[0].ticket, urgent.ticket);
 }
 
-// The upstream was slow for a while: every call took longer than interactive callers wait. It is quick again,
-// but nothing ran since that could show it. Callers must not be refused for ever by an old estimate.
-Test(gate, anOldEstimateDoesNotRefuseForEver)
+// After a slow period the gate's estimate is above every caller's deadline. The upstream is quick again, but
+// no call has run since that could show it. Callers must not be refused for ever by the old estimate.
+Test(gate, staleEstimateDoesNotRefuseForever)
 {
     Gate gate = readyGate(4);
-    Instant now = teach(gate, CallClass::Interactive, 200ms);
+    Instant now = learnRunTime(gate, CallClass::Interactive, 200ms);
     int admitted = 0;
     for (int caller = 0; caller < 100; ++caller) {
         Actions actions;
@@ -116,50 +116,50 @@
     cr_assert_geq(admitted, 80);
 }
 
-// A burst meets one slot whose calls take 10 ms. Callers who would wait past their deadline are told so at
-// once; each is given a later turn than the one before, so that they do not return together.
-Test(gate, refusedCallersAreSentBackOneAfterTheOther)
+// A burst of calls of 10 ms arrives at one slot. Callers that would wait past their deadline are refused at
+// once, each with a later retry time than the one before, so that they do not return together.
+Test(gate, retryTimesOfRefusedCallersAreSpread)
 {
     Gate gate = readyGate(1);
-    const Instant now = teach(gate, CallClass::Interactive, 10ms);
+    const Instant now = learnRunTime(gate, CallClass::Interactive, 10ms);
     Actions actions;
-    std::vector<Duration> returns;
+    std::vector<Duration> retryDelays;
     for (int caller = 0; caller < 60; ++caller) {
         const GateDecision decision = gate.offer(now, call(CallClass::Interactive, 100ms, now), actions);
         if (decision.verdict != GateVerdict::Refuse)
             continue;
         cr_assert(decision.reason == RefusalReason::DeadlineTooNear);
-        returns.push_back(decision.retryAfter);
+        retryDelays.push_back(decision.retryAfter);
     }
-    cr_assert_geq(returns.size(), 40U);
-    const auto [soonest, latest] = std::minmax_element(returns.begin(), returns.end());
+    cr_assert_geq(retryDelays.size(), 40U);
+    const auto [soonest, latest] = std::minmax_element(retryDelays.begin(), retryDelays.end());
     cr_assert(*latest - *soonest > 300ms);
-    cr_assert_geq(std::set<Duration>(returns.begin(), returns.end()).size(), returns.size() - 2);
+    cr_assert_geq(std::set<Duration>(retryDelays.begin(), retryDelays.end()).size(), retryDelays.size() - 2);
 }
 
-// Interactive calls keep the only slot busy and always one more waits. An invoice arrives. It must start
-// within its patience although interactive calls go first, since it is owed a share of the slot.
-Test(gate, interactiveCallsDoNotStarveAnInvoice)
+// Interactive calls keep the only slot busy, and another one is always queued. A non-idempotent call must
+// still start within its deadline, because its class has a guaranteed share of the slot.
+Test(gate, interactiveCallsDoNotStarveNonIdempotentCalls)
 {
     Gate gate = readyGate(1);
-    Instant now = teach(gate, CallClass::Interactive, 5ms);
+    Instant now = learnRunTime(gate, CallClass::Interactive, 5ms);
     Actions actions;
     GateDecision running = gate.offer(now, call(CallClass::Interactive, 1s, now), actions);
-    const GateDecision invoice = gate.offer(now, call(CallClass::NonIdempotent, 1s, now), actions);
+    const GateDecision nonIdempotent = gate.offer(now, call(CallClass::NonIdempotent, 1s, now), actions);
     for (int round = 0; round < 20; ++round) {
         const GateDecision next = gate.offer(now, call(CallClass::Interactive, 1s, now), actions);
         now += 5ms;
         actions.clear();
         gate.finish(now, running.ticket, CallOutcome::Succeeded, actions);
         cr_assert_eq(actions.size(), 1U);
-        if (actions[0].ticket == invoice.ticket)
+        if (actions[0].ticket == nonIdempotent.ticket)
             return;
         running.ticket = next.ticket;
     }
-    cr_assert_fail("the invoice waited behind 20 later interactive calls");
+    cr_assert_fail("the non-idempotent call waited behind 20 later interactive calls");
 }
 
-Test(gate, aFullQueueGivesUpItsNewestBatchCall)
+Test(gate, fullQueueDisplacesNewestBatchCall)
 {
     Gate gate = readyGate(1, 2);
     Actions actions;
@@ -178,7 +178,7 @@
     cr_assert(actions[0].retryAfter > Duration::zero());
 }
 
-Test(gate, batchLeavesSlotsForOthers)
+Test(gate, batchLeavesSlotsForOtherClasses)
 {
     Gate gate = readyGate(6);
     Actions actions;
@@ -193,9 +193,9 @@
     cr_assert_eq(gate.freeSlots(), 3U);
 }
 
-// An upstream begins to drain while calls run and wait. Callers who wait are told at once that theirs did not
-// run; those that run finish as if nothing were, and only then is the gate idle.
-Test(gate, drainingRefusesTheQueueAndFinishesWhatRuns)
+// An upstream starts to drain with running and queued calls. The queued ones are refused at once, the running
+// ones finish normally, and only then is the gate idle.
+Test(gate, drainingRefusesQueuedAndFinishesRunningCalls)
 {
     Gate gate = readyGate(1);
     Actions actions;
@@ -211,9 +211,9 @@
     cr_assert(gate.isIdle());
 }
 
-// The upstream hangs on the call before. The waiting caller's time runs out; it hears so when the gate is
-// woken at the deadline it named, and the call does not start afterwards.
-Test(gate, aWaitingCallIsRefusedWhenItsTimeRunsOut)
+// The upstream hangs on the call before. The queued call is refused when advance() is called at
+// nextDeadline(), and does not start afterwards.
+Test(gate, queuedCallIsRefusedAtItsDeadline)
 {
     Gate gate = readyGate(1);
     Actions actions;
@@ -229,14 +229,14 @@
     cr_assert(actions.empty());
 }
 
-// The upstream announces eight slots and bears two. Callers' calls are shed until the gate gives it no more
-// than it bears, and then only when the gate tries one more; when it recovers, the gate finds back to eight.
-Test(gate, sheddingLowersTheLimitAndSuccessRaisesIt)
+// The upstream announces eight slots but bears two. Calls are shed until the limit reaches two, and
+// afterwards only when the gate tries one more; after recovery the limit returns to eight.
+Test(gate, sheddingLowersAndSuccessRaisesTheLimit)
 {
     Gate gate = readyGate(8);
     Instant now = begin;
     std::size_t shed = 0;
-    const auto round = [&](std::uint32_t bears) {
+    const auto round = [&](std::uint32_t capacity) {
         Actions actions;
         std::vector<Ticket> tickets;
         for (int index = 0; index < 8; ++index) {
@@ -248,9 +248,9 @@
         }
         now += 10ms;
         for (std::size_t index = 0; index < tickets.size(); ++index)
-            gate.finish(now, tickets[index], index < bears ? CallOutcome::Succeeded : CallOutcome::Shed,
+            gate.finish(now, tickets[index], index < capacity ? CallOutcome::Succeeded : CallOutcome::Shed,
                         actions);
-        shed += tickets.size() - std::min<std::size_t>(tickets.size(), bears);
+        shed += tickets.size() - std::min<std::size_t>(tickets.size(), capacity);
         return tickets.size();
     };
     for (int index = 0; index < 20; ++index)
--- a/Tests/LibDecide/TestGateInvariants.cpp
+++ b/Tests/LibDecide/TestGateInvariants.cpp
@@ -1,4 +1,4 @@
-// What must hold at the gate whatever is done to it: seeded random commands, checked step by step.
+// Invariants of the gate, checked after each of many seeded random commands.
 #include <LibDecide/Gate.h>
 
 #include <Support/TableTest.h>
@@ -24,11 +24,11 @@
 
 enum class Stage : std::uint8_t { Waiting, Running, Ended };
 
-// Follows every ticket beside the gate and fails on the first step that breaks a rule.
-class Witness
+// Tracks the state of every ticket independently of the gate and fails at the first violation.
+class GateModel
 {
 public:
-    Witness(const SeedRow &row)
+    GateModel(const SeedRow &row)
         : random(row.seed)
         , slots(row.slots)
         , gate(GateSettings{row.slots, row.maximumQueue, row.seed})
@@ -59,7 +59,7 @@
         }
     }
 
-    // Everything ends once calls finish and time passes.
+    // Every ticket ends once the running calls finish and time passes.
     void drain()
     {
         while (this->gate.running() > 0)
@@ -74,11 +74,11 @@
 private:
     void offer()
     {
-        const CallAttributes facts{static_cast<CallClass>(this->random() % 3),
-                                   this->now + Microseconds(this->random() % 50'000)};
-        const bool wouldAdmit = this->gate.wouldAdmit(this->now, facts);
+        const CallAttributes attributes{static_cast<CallClass>(this->random() % 3),
+                                        this->now + Microseconds(this->random() % 50'000)};
+        const bool wouldAdmit = this->gate.wouldAdmit(this->now, attributes);
         std::vector<GateAction> actions;
-        const GateDecision decision = this->gate.offer(this->now, facts, actions);
+        const GateDecision decision = this->gate.offer(this->now, attributes, actions);
         cr_assert_eq(wouldAdmit, decision.verdict != GateVerdict::Refuse);
         if (decision.verdict == GateVerdict::Refuse) {
             cr_assert_eq(decision.ticket, 0U);
@@ -88,19 +88,19 @@
             cr_assert_eq(this->stages.count(decision.ticket), 0U, "a ticket was given out twice");
             const bool starts = decision.verdict == GateVerdict::Start;
             this->stages[decision.ticket] = starts ? Stage::Running : Stage::Waiting;
-            cr_assert(!starts || facts.deadline > this->now, "started after its deadline");
+            cr_assert(!starts || attributes.deadline > this->now, "started after its deadline");
         }
         this->check(actions);
     }
 
-    void finishOne(CallOutcome end)
+    void finishOne(CallOutcome outcome)
     {
         const Ticket ticket = this->pick(Stage::Running);
         if (ticket == 0)
             return;
         this->stages[ticket] = Stage::Ended;
         std::vector<GateAction> actions;
-        this->gate.finish(this->now, ticket, end, actions);
+        this->gate.finish(this->now, ticket, outcome, actions);
         this->check(actions);
     }
 
@@ -129,8 +129,8 @@
         std::vector<GateAction> actions;
         this->gate.setState(this->now, condition, this->slots, actions);
         this->check(actions);
-        const bool takes = condition == UpstreamCondition::Warming || condition == UpstreamCondition::Ready;
-        cr_assert(takes || this->gate.queued() == 0);
+        const bool accepts = condition == UpstreamCondition::Warming || condition == UpstreamCondition::Ready;
+        cr_assert(accepts || this->gate.queued() == 0);
     }
 
     void check(const std::vector<GateAction> &actions)
@@ -155,12 +155,12 @@
 
     Ticket pick(Stage stage)
     {
-        std::vector<Ticket> fitting;
-        for (const auto &[ticket, its] : this->stages) {
-            if (its == stage)
-                fitting.push_back(ticket);
+        std::vector<Ticket> candidates;
+        for (const auto &[ticket, ticketStage] : this->stages) {
+            if (ticketStage == stage)
+                candidates.push_back(ticket);
         }
-        return fitting.empty() ? 0 : fitting[this->random() % fitting.size()];
+        return candidates.empty() ? 0 : candidates[this->random() % candidates.size()];
     }
 
     std::mt19937_64 random;
@@ -172,13 +172,13 @@
 
 } // namespace
 
-// Calls arrive, end, are given up on and time out in any order while the upstream comes and goes. Were a slot
-// given twice, the upstream would be overrun; were a refused call started, it would run although its caller
-// was told that it did not.
+// Calls arrive, finish, are cancelled and time out in any order while the upstream changes its state. If a
+// slot was given twice, the upstream would be overloaded; if a refused call started, it would run although
+// its caller was told that it had not.
 TABLE_TEST(gateInvariants, holdUnderRandomCommands, seedRows)
 {
-    Witness witness(row);
+    GateModel model(row);
     for (int step = 0; step < 2000; ++step)
-        witness.step();
-    witness.drain();
+        model.step();
+    model.drain();
 }
--- a/Tests/LibDecide/TestOutcomes.cpp
+++ b/Tests/LibDecide/TestOutcomes.cpp
@@ -1,6 +1,6 @@
-// What callers get under the loads and faults that the decisions are made for, on the fake fleet at both
-// users' sizes. The floors stand below what the fixed seeds give; each scenario is also held against round
-// robin without admission where the decisions are there to do better.
+// Outcomes for callers under the loads and faults that LibDecide handles, simulated on the fake fleet at both
+// fleet sizes. The bounds are lower than the results of the fixed seeds. Where LibDecide should do better,
+// each scenario is also compared with round robin without admission control.
 #include <PolicyBench/Fleet.h>
 
 #include <Support/TableTest.h>
@@ -16,17 +16,17 @@
 struct OutcomeRow
 {
     const char *scenario;
-    std::array<double, 3> inTime; // Least share of first attempts by class.
-    std::array<double, 3> served; // Least share after coming back.
-    bool beatsRoundRobin;         // Interactive and non-idempotent calls together.
-    // Most callers of a class that are refused late. A few wait in vain: a batch call that is displaced, or
-    // one whose upstream turns slow or silent meanwhile.
+    std::array<double, 3> inTime; // Minimum share of first attempts answered in time, by class.
+    std::array<double, 3> served; // Minimum share served after retries, by class.
+    bool beatsRoundRobin;         // For interactive and non-idempotent calls together.
+    // Maximum share of callers of a class that are refused late. A few wait in vain: a displaced batch call,
+    // or a call whose upstream turns slow or silent meanwhile.
     double lateRefusals = 0.001;
 };
 
-// Burst and saturation: not all can be served in time, so the rest is refused at once and comes back.
-// Slow, fails-fast, sheds, cold-start, drain, silent: one upstream (half of them for cold-start) misbehaves.
-// All-shed, all-slow: all of them do; who waits when they turn slow is told late.
+// burst, saturation: demand exceeds capacity, so excess calls are refused at once and retried. slow,
+// fails-fast, sheds, cold-start, drain, silent: one upstream misbehaves (half of them in cold-start).
+// all-shed, all-slow: all upstreams misbehave; calls that wait when they turn slow are refused late.
 const OutcomeRow outcomeRows[] = {
     {"steady", {0.999, 0.999, 0.999}, {0.999, 0.999, 0.999}, false},
     {"burst", {0.85, 0.95, 0.95}, {0.995, 0.995, 0.99}, true},
@@ -45,17 +45,17 @@
 
 constexpr std::uint64_t seed = 11;
 
-// Late answers do not count as refusals at once: a refusal takes a way there and back, and a retry or two.
-constexpr Duration atOnce = 30ms;
+// A refusal within this time counts as prompt; it includes a round trip and a retry or two.
+constexpr Duration promptRefusal = 30ms;
 
-// From here on a quantile of refusals says something; below, one displaced call could decide it.
-constexpr std::size_t enoughRefusals = 100;
+// Minimum number of refusals for a quantile to be meaningful; with fewer, one displaced call could decide it.
+constexpr std::size_t minimumRefusals = 100;
 
-// Of all callers of a class.
+// Share of all callers of a class that were refused late.
 double lateRefusals(const ClassOutcome &got)
 {
-    const auto late =
-        std::count_if(got.refusals.begin(), got.refusals.end(), [](Duration took) { return took > atOnce; });
+    const auto late = std::count_if(got.refusals.begin(), got.refusals.end(),
+                                    [](Duration took) { return took > promptRefusal; });
     return got.share(static_cast<std::uint64_t>(late));
 }
 
@@ -69,7 +69,7 @@
 
 } // namespace
 
-TABLE_TEST(outcomes, callersAreServedInTimeOrToldAtOnce, outcomeRows)
+TABLE_TEST(outcomes, callersAreServedInTimeOrRefusedPromptly, outcomeRows)
 {
     for (const FleetShape &fleet : todaysFleets()) {
         const Scenario scenario = scenarioNamed(fleet, row.scenario);
@@ -90,9 +90,9 @@
                           fleet.name.c_str(), row.scenario, index, got.share(got.served));
             cr_assert_leq(lateRefusals(got), row.lateRefusals, "%s %s class %zu: refused late %f",
                           fleet.name.c_str(), row.scenario, index, lateRefusals(got));
-            if (got.refusals.size() >= enoughRefusals)
-                cr_assert(quantile(got.refusals, 0.95) <= atOnce, "%s %s class %zu: most are refused late",
-                          fleet.name.c_str(), row.scenario, index);
+            if (got.refusals.size() >= minimumRefusals)
+                cr_assert(quantile(got.refusals, 0.95) <= promptRefusal,
+                          "%s %s class %zu: most are refused late", fleet.name.c_str(), row.scenario, index);
         }
         if (!row.beatsRoundRobin)
             continue;
--- a/Tests/LibDecide/TestRetry.cpp
+++ b/Tests/LibDecide/TestRetry.cpp
@@ -1,4 +1,4 @@
-// When a call may be sent again, and how often.
+// Which calls may be retried, and how often.
 #include <LibDecide/Retry.h>
 
 #include <Support/TableTest.h>
@@ -11,7 +11,7 @@
 
 namespace {
 
-struct SendAgainRow
+struct RetrySafetyRow
 {
     CallPhase phase;
     bool idempotent;
@@ -19,7 +19,7 @@
     bool expected;
 };
 
-const SendAgainRow sendAgainRows[] = {
+const RetrySafetyRow retrySafetyRows[] = {
     {CallPhase::NotSent, false, false, true},    {CallPhase::NotSent, true, false, true},
     {CallPhase::MaybeSent, false, false, false}, {CallPhase::MaybeSent, true, false, true},
     {CallPhase::Answered, false, false, false},  {CallPhase::Answered, true, false, true},
@@ -28,14 +28,13 @@
 
 } // namespace
 
-TABLE_TEST(retry, sendsAgainOnlyWhatCannotRunTwice, sendAgainRows)
+TABLE_TEST(retry, onlySafeCallsAreRetried, retrySafetyRows)
 {
     cr_assert_eq(isRetrySafe(row.phase, row.idempotent, row.refusedNotRun), row.expected);
 }
 
-// Callers see every call to a dead zone fail for a while. Each of the node's calls is tried again at once.
-// The budget must keep what is added to the rest of the fleet within its share, since the rest would fail
-// too.
+// Every call to a failed zone is retried at once. The budget must keep the added load on the rest of the
+// fleet within its share, since the rest would fail too.
 Test(retry, budgetKeepsRetriesWithinItsShare)
 {
     RetryBudget budget(0.1, 5);
@@ -50,10 +49,10 @@
     cr_assert_geq(retries, 10'000 / 10 - 1);
 }
 
-// A quiet time saves up tokens; then every call fails for some seconds. Spending what was saved on top of
-// what each window earns would double the retries of one window, and an allowance that many nodes share would
-// break.
-Test(retry, noWindowHasMoreThanItsShare)
+// Tokens are saved up in a quiet period; then every call fails for some seconds. If the saved tokens were
+// spent on top of what each window earns, the retries of one window would double, and a budget that many
+// nodes share would be exceeded.
+Test(retry, noWindowExceedsItsShare)
 {
     RetryBudget budget(0.1, 5);
     Instant now{};
@@ -71,7 +70,7 @@
     }
 }
 
-Test(retry, hedgesOnlyTheSlowest)
+Test(retry, hedgesOnlySlowCalls)
 {
     HedgeDelay hedge;
     cr_assert(!hedge.delay());
--- a/Tests/LibDecide/TestTargetGate.cpp
+++ b/Tests/LibDecide/TestTargetGate.cpp
@@ -1,4 +1,4 @@
-// What callers get of one gate that admits by target, under the mixes that services see.
+// Outcomes for callers of one gate with latency targets, under mixes of calls that services see.
 #include <LibDecide/Gate.h>
 #include <LibDecide/TargetGate.h>
 
@@ -9,8 +9,8 @@
 
 namespace {
 
-// Quick checks that must not be late, refunds, and lookups that take sixteen times as long as a check; at
-// factor 1 they ask for all of six slots.
+// Quick checks with tight targets, refunds, and lookups that take sixteen times as long as a check. At factor
+// 1 they use all of six slots.
 std::vector<LoadKind> entryMix(double factor)
 {
     return {
@@ -20,7 +20,7 @@
     };
 }
 
-// Lookups that many make at once, and bookings that go before them.
+// Many lookups, and bookings of higher priority.
 std::vector<LoadKind> bookingMix(double factor)
 {
     return {
@@ -29,27 +29,27 @@
     };
 }
 
-std::map<std::string, LoadOutcome> playTargets(const std::vector<LoadKind> &kinds, std::uint64_t seed)
+std::map<std::string, LoadOutcome> runTargetGate(const std::vector<LoadKind> &kinds, std::uint64_t seed)
 {
     TargetLoad load(makeAdmissionHooks(std::make_shared<TargetGate>(TargetGateSettings{6, 256, seed})), 6,
                     seed);
-    auto outcomes = load.play(kinds, std::chrono::seconds(30));
-    cr_assert(load.open == 0, "%d tickets never ended", load.open);
-    cr_assert(load.mostRunning <= 6);
+    auto outcomes = load.run(kinds, std::chrono::seconds(30));
+    cr_assert(load.openTickets == 0, "%d tickets never ended", load.openTickets);
+    cr_assert(load.maximumRunning <= 6);
     return outcomes;
 }
 
-std::map<std::string, LoadOutcome> playClasses(const std::vector<LoadKind> &kinds, std::uint64_t seed)
+std::map<std::string, LoadOutcome> runClassGate(const std::vector<LoadKind> &kinds, std::uint64_t seed)
 {
     TargetLoad load(makeAdmissionHooks(std::make_shared<Gate>(GateSettings{6, 256, seed})), 6, seed);
-    return load.play(kinds, std::chrono::seconds(30));
+    return load.run(kinds, std::chrono::seconds(30));
 }
 
 struct QueueRow
 {
     double factor;
-    double leastChecks;
-    double leastLookups;
+    double minimumChecks;
+    double minimumLookups;
 };
 
 const QueueRow queueRows[] = {{1.6, 0.93, 0.15}, {2.2, 0.75, 0.1}};
@@ -59,20 +59,19 @@
     const char *what;
     std::vector<LoadKind> kinds;
     const char *kind;
-    double leastInTime;
+    double minimumInTime;
 };
 
-// Measured over the seeds below (the least of them; the gate by classes in brackets, which gets one class of
-// calls here): at 1.3 times the slots checks 0.98 (0.13), refunds 0.92 (0.34), lookups 0.31 (0.71); bookings
-// 0.96 (0.00).
+// The lowest results over the seeds, with those of Gate in brackets (where all calls are of one class): at
+// 1.3 times the slots, checks 0.98 (0.13), refunds 0.92 (0.34), lookups 0.31 (0.71); bookings 0.96 (0.00).
 const ShareRow shareRows[] = {
-    {"plain day, checks", entryMix(0.7), "check", 0.95},
-    {"plain day, refunds", entryMix(0.7), "refund", 0.95},
-    {"plain day, lookups", entryMix(0.7), "lookup", 0.9},
-    {"a third too much, checks", entryMix(1.3), "check", 0.9},
-    {"a third too much, refunds", entryMix(1.3), "refund", 0.9},
-    {"a third too much, lookups", entryMix(1.3), "lookup", 0.25},
-    {"twice too much, checks", entryMix(2), "check", 0.75},
+    {"normal load, checks", entryMix(0.7), "check", 0.95},
+    {"normal load, refunds", entryMix(0.7), "refund", 0.95},
+    {"normal load, lookups", entryMix(0.7), "lookup", 0.9},
+    {"30% overload, checks", entryMix(1.3), "check", 0.9},
+    {"30% overload, refunds", entryMix(1.3), "refund", 0.9},
+    {"30% overload, lookups", entryMix(1.3), "lookup", 0.25},
+    {"100% overload, checks", entryMix(2), "check", 0.75},
     {"bookings beside many lookups", bookingMix(1.3), "booking", 0.9},
     {"lookups behind bookings", bookingMix(1.3), "lookup", 0.45},
 };
@@ -81,102 +80,100 @@
 
 } // namespace
 
-// More calls come than the slots bear, quick urgent ones among long ones. In order of arrival all would wait
-// and the quick ones all be late. The urgent and quick ones are answered in time and the long ones get what
-// is left.
+// Demand exceeds the slots, with quick urgent calls among long ones. In order of arrival all would wait, and
+// the quick ones would all be late. The urgent and quick ones must be answered in time; long ones get the
+// remaining capacity.
 TABLE_TEST(targetGate, callersAreAnsweredInTime, shareRows)
 {
     for (const std::uint64_t seed : seeds) {
-        const auto outcomes = playTargets(row.kinds, seed);
+        const auto outcomes = runTargetGate(row.kinds, seed);
         const double share = outcomes.at(row.kind).inTimeShare();
-        cr_assert(share >= row.leastInTime, "%s, seed %d: %.3f in time", row.what, static_cast<int>(seed),
+        cr_assert(share >= row.minimumInTime, "%s, seed %d: %.3f in time", row.what, static_cast<int>(seed),
                   share);
     }
 }
 
-// The same overload with both rules. The answers in time, each counted once, must be clearly more.
-Test(targetGate, moreCallersAreInTimeThanByClasses)
+// Under the same overload, TargetGate must answer clearly more calls in time than Gate.
+Test(targetGate, answersMoreCallersInTimeThanClassGate)
 {
     for (const std::uint64_t seed : seeds) {
         int targets = 0;
         int classes = 0;
-        for (const auto &[name, outcome] : playTargets(entryMix(1.3), seed))
+        for (const auto &[name, outcome] : runTargetGate(entryMix(1.3), seed))
             targets += outcome.inTime;
-        for (const auto &[name, outcome] : playClasses(entryMix(1.3), seed))
+        for (const auto &[name, outcome] : runClassGate(entryMix(1.3), seed))
             classes += outcome.inTime;
         cr_assert(targets > classes + classes / 4, "seed %d: %d against %d", static_cast<int>(seed), targets,
                   classes);
     }
 }
 
-// The lowest kind of a sustained overload. Without a least share it would get nothing for as long as it
-// lasts.
-Test(targetGate, noKindStarves)
+// Without a minimum share, the kind of lowest priority would get nothing for as long as an overload lasts.
+Test(targetGate, noKindIsStarved)
 {
     for (const std::uint64_t seed : seeds) {
-        const auto outcomes = playTargets(entryMix(2.5), seed);
+        const auto outcomes = runTargetGate(entryMix(2.5), seed);
         for (const auto &[name, outcome] : outcomes)
             cr_assert(outcome.servedShare() > 0.1, "%s: %.3f served", name.c_str(), outcome.servedShare());
     }
 }
 
-// Two upstreams of three are left and lookups, which wait for seconds, queue up at each. Checks that every
-// reservation makes are refused, as each lookup that waits counts as one that goes first, and the reservation
-// then fails with all its work done. Checks in time at 1.6 and 2.2 times the slots (least of the seeds): 0.90
-// and 0.66 with every waiting lookup counted, 0.97 and 0.87 without; lookups answered 0.25 and 0.21, then
-// 0.23 and 0.16.
-TABLE_TEST(targetGate, quickCallsPassLongOnesThatQueue, queueRows)
+// Two of three upstreams are left, and lookups, which may wait for seconds, queue up at each. If each queued
+// lookup counted as ahead of the checks, the checks that every reservation makes would be refused, and the
+// reservation would fail with all its work done. Checks in time at 1.6 and 2.2 times the slots (lowest over
+// the seeds): 0.90 and 0.66 with every queued lookup counted, 0.97 and 0.87 without; lookups answered: 0.25
+// and 0.21, then 0.23 and 0.16.
+TABLE_TEST(targetGate, quickCallsPassQueuedLongCalls, queueRows)
 {
     for (const std::uint64_t seed : seeds) {
         TargetLoad load(makeAdmissionHooks(std::make_shared<TargetGate>(TargetGateSettings{6, 256, seed})), 6,
                         seed);
-        load.offersAgainForLate = true;
-        auto outcomes = load.play(entryMix(row.factor), std::chrono::seconds(30));
-        cr_assert(outcomes["check"].inTimeShare() > row.leastChecks, "%.2f of the checks",
+        load.offersAgainAcceptingLate = true;
+        auto outcomes = load.run(entryMix(row.factor), std::chrono::seconds(30));
+        cr_assert(outcomes["check"].inTimeShare() > row.minimumChecks, "%.2f of the checks",
                   outcomes["check"].inTimeShare());
-        cr_assert(outcomes["lookup"].servedShare() > row.leastLookups, "%.2f of the lookups",
+        cr_assert(outcomes["lookup"].servedShare() > row.minimumLookups, "%.2f of the lookups",
                   outcomes["lookup"].servedShare());
     }
 }
 
-// Calls that are refused are refused at once, but for a few: one that waited in vain has lost the time in
-// which its caller could have turned elsewhere.
+// All but a few refused calls are refused before their target: a caller that waits in vain loses the time in
+// which it could have gone elsewhere.
 Test(targetGate, refusesEarly)
 {
     for (const std::uint64_t seed : seeds) {
-        const auto outcomes = playTargets(entryMix(1.3), seed);
+        const auto outcomes = runTargetGate(entryMix(1.3), seed);
         for (const auto &[name, outcome] : outcomes)
             cr_assert(outcome.refusedAfterTarget <= outcome.offered / 20, "%s, seed %d: %d of %d",
                       name.c_str(), static_cast<int>(seed), outcome.refusedAfterTarget, outcome.offered);
     }
 }
 
-// The gate of an upstream that drains: nothing starts, what waits is told at once, what runs ends.
-Test(targetGate, drainRefusesWhatWaits)
+// When an upstream drains, nothing new starts, queued calls are refused at once, and running calls finish.
+Test(targetGate, drainRefusesQueuedCalls)
 {
     TargetGate gate({1, 8, 1});
     const Instant now = Instant() + std::chrono::hours(1);
     std::vector<GateAction> actions;
     gate.setState(now, UpstreamCondition::Ready, 1, actions);
-    CallAttributes facts;
-    facts.deadline = now + std::chrono::seconds(5);
-    const GateDecision first = gate.offer(now, facts, actions);
-    const GateDecision second = gate.offer(now, facts, actions);
+    CallAttributes attributes;
+    attributes.deadline = now + std::chrono::seconds(5);
+    const GateDecision first = gate.offer(now, attributes, actions);
+    const GateDecision second = gate.offer(now, attributes, actions);
     cr_assert(first.verdict == GateVerdict::Start && second.verdict == GateVerdict::Queue);
     gate.setState(now, UpstreamCondition::Draining, 1, actions);
     cr_assert(actions.size() == 1 && actions[0].ticket == second.ticket && !actions[0].start);
     cr_assert(actions[0].reason == RefusalReason::Draining);
-    cr_assert(gate.offer(now, facts, actions).reason == RefusalReason::Draining);
+    cr_assert(gate.offer(now, attributes, actions).reason == RefusalReason::Draining);
     gate.finish(now, first.ticket, CallOutcome::Succeeded, actions);
     cr_assert(gate.running() == 0 && gate.queued() == 0);
 }
 
-// Two of a service's three upstreams are gone for good, and the one that is left is asked for 1.9 times what
-// it bears. Callers that are refused come back. A gate that takes them for new lets them wait for slots, as
-// if an answer were still in time, and new callers find the queue full. Reports answered in time (least of
-// the seeds): 0.21 when they are taken for new, 0.37 when they are recognised; calls that runs need: 0.83,
-// 0.96.
-Test(targetGate, whoComesBackIsNotTakenForNew)
+// Two of a service's three upstreams are lost, and demand is 1.9 times the capacity of the last one. Refused
+// callers retry. If the gate takes the retries for new calls, they queue for slots as if their answers could
+// still be in time, and new callers find the queue full. Reports answered in time (lowest over the seeds):
+// 0.21 if retries are taken for new calls, 0.37 if they are recognised; calls that runs need: 0.83 and 0.96.
+Test(targetGate, retriesAreNotTakenForNewCalls)
 {
     const std::vector<LoadKind> kinds{
         {"index", 134, 35, 0.5, 0, Milliseconds(100), Milliseconds(250)},
@@ -185,30 +182,30 @@
     };
     for (const std::uint64_t seed : seeds) {
         double inTime[2] = {};
-        for (const Return returns : {Return::TakenForNew, Return::Recognised}) {
-            const auto rule = std::make_shared<TargetGate>(TargetGateSettings{12, 256, seed});
-            TargetLoad load(makeAdmissionHooks(rule), 12, seed);
-            load.offersAgainForLate = true;
-            load.returns = returns;
-            const auto outcomes = load.play(kinds, std::chrono::seconds(20));
-            inTime[returns == Return::Recognised ? 1 : 0] = outcomes.at("report").inTimeShare();
+        for (const RetryMode retryMode : {RetryMode::AsNewCall, RetryMode::AsRetry}) {
+            const auto gate = std::make_shared<TargetGate>(TargetGateSettings{12, 256, seed});
+            TargetLoad load(makeAdmissionHooks(gate), 12, seed);
+            load.offersAgainAcceptingLate = true;
+            load.retryMode = retryMode;
+            const auto outcomes = load.run(kinds, std::chrono::seconds(20));
+            inTime[retryMode == RetryMode::AsRetry ? 1 : 0] = outcomes.at("report").inTimeShare();
         }
         cr_assert(inTime[1] > 0.34 && inTime[1] > 1.4 * inTime[0], "%.2f, and %.2f recognised", inTime[0],
                   inTime[1]);
     }
 }
 
-// A service is asked for a little more than its slots bear, for a long time. If calls may wait until their
-// mean run alone fits before their target, the queue stands at that length and more of the longer runs end
-// late, though the slots answer no more calls than with a shorter queue. Callers in time (first seed): 0.78
-// with the mean run, 0.81 with one deviation more.
-Test(targetGate, aQueueLeavesRoomForRunsAboveTheMean)
+// Demand is slightly above the slots for a long time. If calls may wait until their mean run time alone fits
+// before their target, the queue stays at that length and more of the longer runs end late, although no more
+// calls are answered than with a shorter queue. Callers in time (first seed): 0.78 with the mean, 0.81 with
+// one mean deviation added.
+Test(targetGate, queueLeavesRoomForRunTimesAboveTheMean)
 {
     const std::vector<LoadKind> kinds{{"list", 115, 110, 0.8, 2, Milliseconds(300), Milliseconds(800)}};
     for (const std::uint64_t seed : seeds) {
-        const auto rule = std::make_shared<TargetGate>(TargetGateSettings{12, 256, seed});
-        TargetLoad load(makeAdmissionHooks(rule), 12, seed);
-        const auto outcomes = load.play(kinds, std::chrono::seconds(60));
+        const auto gate = std::make_shared<TargetGate>(TargetGateSettings{12, 256, seed});
+        TargetLoad load(makeAdmissionHooks(gate), 12, seed);
+        const auto outcomes = load.run(kinds, std::chrono::seconds(60));
         cr_assert(outcomes.at("list").inTimeShare() > 0.79, "%.3f", outcomes.at("list").inTimeShare());
     }
 }
--- a/Utilities/PolicyBench/Cost.cpp
+++ b/Utilities/PolicyBench/Cost.cpp
@@ -1,5 +1,5 @@
-// Times the placer and the gate in a loop, each over several rounds, and prints the quickest and the median
-// round: the machine may be busy with other work.
+// Times the load balancer and the gate in a loop, each over several rounds, and prints the quickest and the
+// median round: the machine may be busy with other work.
 #include <PolicyBench/Cost.h>
 
 #include <LibDecide/Gate.h>
--- a/Utilities/PolicyBench/Policy.cpp
+++ b/Utilities/PolicyBench/Policy.cpp
@@ -1,5 +1,5 @@
-// Policies as hooks. A mechanism of ours is taken out by what the gate or placer is told, not by a switch in
-// it.
+// Policies as hooks. A mechanism of ours is taken out by what the gate or load balancer is told, not by a
+// switch in it.
 #include <PolicyBench/Policy.h>
 
 #include <algorithm>
