--- a/Services/Node/Gate/ClaimHooks.h
+++ b/Services/Node/Gate/ClaimHooks.h
@@ -1,4 +1,4 @@
-// How the gate claims idempotency keys, without knowing where claims are kept.
+// Hooks through which the gate claims idempotency keys, independent of where claims are stored.
 #pragma once
 
 #include <LibCore/Time.h>
@@ -9,8 +9,8 @@
 
 namespace Sagecrank {
 
-// The hooks may be called from any thread; `done` may come on any thread. A granted claim ends with exactly
-// one of finish, release and leaveUnknown.
+// The hooks may be called from any thread, and `done` may be called on any thread. Each granted claim ends
+// with exactly one call of finish, release or leaveUnknown.
 struct ClaimHooks
 {
     std::function<void(const std::string &key, const std::string &attempt, Instant deadline,
@@ -18,7 +18,7 @@
         claim;
     std::function<void(const std::string &key, const std::string &attempt, RecordedOutcome outcome)> finish;
     std::function<void(const std::string &key, const std::string &attempt)>
-        release; // It provably did not run.
+        release; // The call provably did not run.
     std::function<void(const std::string &key, const std::string &attempt)> leaveUnknown;
 };
 
--- a/Services/Node/Gate/ClaimService.cpp
+++ b/Services/Node/Gate/ClaimService.cpp
@@ -1,4 +1,4 @@
-// Brings claims to the control thread and keeps the keeper's time.
+// Posts claim operations to the control thread and drives the timer of the ClaimKeeper.
 #include "ClaimService.h"
 
 #include <boost/asio/post.hpp>
@@ -7,7 +7,7 @@
 
 namespace {
 
-std::uint64_t wallMilliseconds()
+std::uint64_t unixMilliseconds()
 {
     const auto now = std::chrono::system_clock::now().time_since_epoch();
     return static_cast<std::uint64_t>(std::chrono::duration_cast<Milliseconds>(now).count());
@@ -18,7 +18,7 @@
 ClaimService::ClaimService(boost::asio::io_context &control, TablePort table)
     : control(control)
     , keeper(std::move(table), ClaimSettings{},
-             ClaimClocks{[] { return SteadyClock::now(); }, wallMilliseconds})
+             ClaimClocks{[] { return SteadyClock::now(); }, unixMilliseconds})
     , timer(control)
 {
 }
@@ -46,17 +46,17 @@
     return hooks;
 }
 
-void ClaimService::post(std::function<void()> step)
+void ClaimService::post(std::function<void()> operation)
 {
-    ++this->posted;
-    boost::asio::post(this->control, [this, step = std::move(step)] {
-        step();
-        this->wakeLater();
-        --this->posted;
+    ++this->pendingOperations;
+    boost::asio::post(this->control, [this, operation = std::move(operation)] {
+        operation();
+        this->scheduleWake();
+        --this->pendingOperations;
     });
 }
 
-void ClaimService::wakeLater()
+void ClaimService::scheduleWake()
 {
     const std::optional<Instant> next = this->keeper.nextWake();
     if (!next)
@@ -66,7 +66,7 @@
         if (error)
             return;
         this->keeper.advance();
-        this->wakeLater();
+        this->scheduleWake();
     });
 }
 
--- a/Services/Node/Gate/ClaimService.h
+++ b/Services/Node/Gate/ClaimService.h
@@ -1,4 +1,4 @@
-// The keeper of claims on the control thread, reached from the request threads.
+// Runs the ClaimKeeper on the control thread for calls from the request threads.
 #pragma once
 
 #include "ClaimHooks.h"
@@ -17,17 +17,22 @@
 
     ClaimHooks hooks();
 
-    // Claims whose end is still to be written; a node that leaves waits for them. On the control thread.
-    std::size_t unsettledClaims() const { return this->posted.load() + this->keeper.settlingCount(); }
+    // Number of claims whose result is still to be written. A node that leaves waits for them. Control thread
+    // only.
+    std::size_t unsettledClaims() const
+    {
+        return this->pendingOperations.load() + this->keeper.settlingCount();
+    }
 
 private:
-    void wakeLater();
-    void post(std::function<void()> step);
+    void scheduleWake();
+    void post(std::function<void()> operation);
 
     boost::asio::io_context &control;
     ClaimKeeper keeper; // Only used on the control thread.
     boost::asio::steady_timer timer;
-    std::atomic<std::size_t> posted = 0; // Steps on their way to the control thread.
+    // Operations posted to the control thread that have not run yet.
+    std::atomic<std::size_t> pendingOperations = 0;
 };
 
 } // namespace Sagecrank
--- a/Services/Node/Gate/GateCall.cpp
+++ b/Services/Node/Gate/GateCall.cpp
@@ -1,11 +1,11 @@
-// What a call in the gate is claimed under.
+// Builds the key under which a call is claimed.
 #include "GateCall.h"
 
 #include <LibConfig/Encoding.h>
 
 namespace Sagecrank {
 
-// The address is digested: it may be longer than the table lets a key be.
+// The address is hashed, since it may be longer than a key of the table may be.
 std::string claimKeyOf(const CallRequest &request)
 {
     if (request.idempotencyKey.empty())
--- a/Services/Node/Gate/GateCall.h
+++ b/Services/Node/Gate/GateCall.h
@@ -1,4 +1,5 @@
-// One call inside the local gate. All of it but the ticket's place in the queue belongs to its home thread.
+// One call inside the local gate. Everything except its position in the queue is used only on its request
+// thread.
 #pragma once
 
 #include "LocalGate.h"
@@ -8,78 +9,80 @@
 namespace Sagecrank {
 
 enum class GateCallStage : std::uint8_t {
-    Claiming, // Waits for its idempotency key.
-    Waiting,  // Waits for a slot.
+    Claiming, // Waits for the claim of its idempotency key.
+    Queued,   // Waits for a slot.
     Running,  // Sent, or about to be sent, to the upstream.
     Ended,
 };
 
-// A key names one piece of work at one address: the same key at another path or with another method is other
-// work. The service is left out on purpose, since a new version may send the path to another one between two
-// attempts.
+// Returns the key under which the call is claimed. An idempotency key identifies one operation at one
+// address: the same key with another path or method is a different operation. The service is not part of it,
+// since a new configuration version may route the path to another service between two attempts.
 std::string claimKeyOf(const CallRequest &request);
 
 class GateCall
 {
 public:
-    GateCall(RequestThread home, CallRequest request, LocalGate::AnswerHook answer, RequestObserver &observer)
-        : home(home)
+    GateCall(RequestThread thread, CallRequest request, LocalGate::AnswerHook answer,
+             RequestObserver &observer)
+        : thread(thread)
         , request(std::move(request))
         , answer(std::move(answer))
-        , arrived(SteadyClock::now())
-        , deadline(this->arrived + Microseconds(this->request.remainingMicroseconds))
-        , claimName(claimKeyOf(this->request))
-        , waitTimer(home.context)
-        , gateSpan(observer.openSpan(SpanName::Gate, this->request.traceParent, this->arrived))
+        , arrivedAt(SteadyClock::now())
+        , deadline(this->arrivedAt + Microseconds(this->request.remainingMicroseconds))
+        , claimKey(claimKeyOf(this->request))
+        , waitTimer(thread.context)
+        , gateSpan(observer.openSpan(SpanName::Gate, this->request.traceParent, this->arrivedAt))
     {
     }
 
-    bool keyed() const { return !this->request.idempotencyKey.empty(); }
+    bool hasIdempotencyKey() const { return !this->request.idempotencyKey.empty(); }
 
-    // A keyed call runs at most once even when it calls itself idempotent, so it is not cut off either.
-    bool mayBeCutOff() const { return this->request.idempotent && !this->keyed(); }
+    // A call with an idempotency key runs at most once, even if it is also marked idempotent, so it is not
+    // cut off either.
+    bool isCancellable() const { return this->request.idempotent && !this->hasIdempotencyKey(); }
 
-    CallAttributes facts() const
+    CallAttributes attributes() const
     {
-        CallAttributes facts;
-        facts.callClass = this->request.callClass;
-        facts.deadline = this->deadline;
-        facts.kind = this->request.kind;
-        facts.priority = this->request.priority;
-        facts.lateAccepted = this->request.lateAccepted;
+        CallAttributes attributes;
+        attributes.callClass = this->request.callClass;
+        attributes.deadline = this->deadline;
+        attributes.kind = this->request.kind;
+        attributes.priority = this->request.priority;
+        attributes.lateAccepted = this->request.lateAccepted;
         if (this->request.remainingTargetMicroseconds > 0)
-            facts.target = this->arrived + Microseconds(this->request.remainingTargetMicroseconds);
-        return facts;
+            attributes.target = this->arrivedAt + Microseconds(this->request.remainingTargetMicroseconds);
+        return attributes;
     }
 
-    // Of a call like this one that arrives at `now`.
-    CallAttributes factsAnew(Instant now) const
+    // The attributes of the same call if it arrived at `now`.
+    CallAttributes attributesIfArrivedAt(Instant now) const
     {
-        CallAttributes facts = this->facts();
-        facts.deadline += now - this->arrived;
-        if (facts.target)
-            *facts.target += now - this->arrived;
-        return facts;
+        CallAttributes attributes = this->attributes();
+        attributes.deadline += now - this->arrivedAt;
+        if (attributes.target)
+            *attributes.target += now - this->arrivedAt;
+        return attributes;
     }
 
-    RequestThread home;
+    RequestThread thread;
     CallRequest request;
     LocalGate::AnswerHook answer;
-    Instant arrived;
+    Instant arrivedAt;
     Instant deadline; // By this host's clock.
-    Instant started;
+    Instant startedAt;
     std::string upstreamAddress;
     std::string upstreamInstance;
-    std::string claimName; // Under which its key is claimed; empty without a key.
+    std::string claimKey; // Empty without an idempotency key.
     Ticket ticket = 0;
     GateCallStage stage = GateCallStage::Claiming;
-    bool claimed = false;   // Its key is held by this attempt.
-    bool sent = false;      // Some of it may have left for the upstream.
-    bool cancelled = false; // The caller gave up; nothing of it starts any more.
+    bool claimed = false;   // This attempt holds the claim of its key.
+    bool sent = false;      // Some of it may have been sent to the upstream.
+    bool cancelled = false; // The caller gave up, so the call must not start.
     HttpClient::Handle sending;
-    boost::asio::steady_timer waitTimer; // Runs while the call waits in the queue.
+    boost::asio::steady_timer waitTimer; // Runs while the call is queued.
     Span gateSpan;
-    std::optional<Span> stepSpan; // Of the claim, the queue or the upstream, whichever is under way.
+    std::optional<Span> stepSpan; // Span of the current step: claim, queue or upstream.
 };
 
 } // namespace Sagecrank
--- a/Services/Node/Gate/LocalGate.cpp
+++ b/Services/Node/Gate/LocalGate.cpp
@@ -1,4 +1,4 @@
-// The way of a call through the gate: claim, admit, run, answer.
+// The path of a call through the gate: claim, admit, run, answer.
 #include "LocalGate.h"
 
 #include "GateCall.h"
@@ -17,125 +17,128 @@
 constexpr std::uint32_t statusUnavailable = 503;
 constexpr std::uint32_t statusGatewayTimeout = 504;
 
-// Bounds how often a waiting call looks at the queue.
-constexpr Duration shortestQueueCheck = Milliseconds(1);
+// Bounds how often a queued call checks the queue.
+constexpr Duration minimumQueueCheckInterval = Milliseconds(1);
 
-std::uint32_t retryMilliseconds(Duration span)
+std::uint32_t retryMilliseconds(Duration duration)
 {
-    const auto count = std::chrono::ceil<Milliseconds>(span).count();
-    return static_cast<std::uint32_t>(std::clamp<std::int64_t>(count, 1, 3600000));
+    const auto milliseconds = std::chrono::ceil<Milliseconds>(duration).count();
+    return static_cast<std::uint32_t>(std::clamp<std::int64_t>(milliseconds, 1, 3600000));
 }
 
-std::uint64_t wholeMicroseconds(Duration span)
+std::uint64_t nonNegativeMicroseconds(Duration duration)
 {
     return static_cast<std::uint64_t>(
-        std::max<std::int64_t>(0, std::chrono::duration_cast<Microseconds>(span).count()));
+        std::max<std::int64_t>(0, std::chrono::duration_cast<Microseconds>(duration).count()));
 }
 
 } // namespace
 
-LocalGate::LocalGate(std::string nodeId, AdmissionHooks admission, CallHeaders names, ClaimHooks claims,
+LocalGate::LocalGate(std::string nodeId, AdmissionHooks admission, CallHeaders headerNames, ClaimHooks claims,
                      QuarantineHooks quarantine, HistoryRecorder &history, RequestObserver &observer)
     : nodeId(std::move(nodeId))
-    , names(std::move(names))
+    , headerNames(std::move(headerNames))
     , claims(std::move(claims))
     , quarantine(std::move(quarantine))
     , history(history)
     , observer(observer)
-    , gate(std::move(admission))
+    , admission(std::move(admission))
 {
 }
 
-std::shared_ptr<GateCall> LocalGate::submit(RequestThread home, CallRequest request, AnswerHook answer)
+std::shared_ptr<GateCall> LocalGate::submit(RequestThread thread, CallRequest request, AnswerHook answer)
 {
-    const auto call = std::make_shared<GateCall>(home, std::move(request), std::move(answer), this->observer);
-    ++this->callsInside;
+    const auto call =
+        std::make_shared<GateCall>(thread, std::move(request), std::move(answer), this->observer);
+    ++this->callCount;
     std::optional<Duration> refused;
     if (this->quarantine.remainingQuarantine)
         refused = this->quarantine.remainingQuarantine(call->request);
-    // A host may have been given to another service while the sender's view is old.
+    // The host may have been reassigned to another service that the sender does not know of yet.
     if (!this->serves(call->request.cluster))
         this->refuse(call, refusalReasonNames.name(RefusalReason::NotReady), unreachableRetryAfter);
     else if (refused)
         this->refuse(call, reasonQuarantined, *refused);
-    else if (call->keyed())
+    else if (call->hasIdempotencyKey())
         this->claimKey(call);
     else
         this->offer(call);
     return call;
 }
 
-bool LocalGate::tryRefuseBeforeBody(RequestThread home, CallRequest request, Duration bodyTakes,
+bool LocalGate::tryRefuseBeforeBody(RequestThread thread, CallRequest request, Duration bodyTransferTime,
                                     AnswerHook answer)
 {
-    const auto call = std::make_shared<GateCall>(home, std::move(request), std::move(answer), this->observer);
-    CallAttributes facts = call->facts();
-    facts.deadline -= bodyTakes;
-    if (facts.target)
-        *facts.target -= bodyTakes;
+    const auto call =
+        std::make_shared<GateCall>(thread, std::move(request), std::move(answer), this->observer);
+    CallAttributes attributes = call->attributes();
+    attributes.deadline -= bodyTransferTime;
+    if (attributes.target)
+        *attributes.target -= bodyTransferTime;
     std::optional<GateDecision> refusal;
     if (!this->serves(call->request.cluster))
         refusal = GateDecision{GateVerdict::Refuse, 0, RefusalReason::NotReady, unreachableRetryAfter};
-    else if (facts.deadline <= call->arrived)
-        refusal = GateDecision{GateVerdict::Refuse, 0, RefusalReason::DeadlineTooNear, bodyTakes};
-    else if (facts.target && !facts.lateAccepted && *facts.target <= call->arrived)
-        refusal = GateDecision{GateVerdict::Refuse, 0, RefusalReason::TargetTooNear, bodyTakes};
+    else if (attributes.deadline <= call->arrivedAt)
+        refusal = GateDecision{GateVerdict::Refuse, 0, RefusalReason::DeadlineTooNear, bodyTransferTime};
+    else if (attributes.target && !attributes.lateAccepted && *attributes.target <= call->arrivedAt)
+        refusal = GateDecision{GateVerdict::Refuse, 0, RefusalReason::TargetTooNear, bodyTransferTime};
     else
-        refusal = this->refusalOf(facts);
+        refusal = this->refusalFor(attributes);
     if (!refusal)
         return false;
-    ++this->callsInside;
+    ++this->callCount;
     this->refuse(call, refusalReasonNames.name(refusal->reason), refusal->retryAfter);
     return true;
 }
 
-void LocalGate::refuseUnsubmitted(RequestThread home, CallRequest request, std::string_view reason,
+void LocalGate::refuseUnsubmitted(RequestThread thread, CallRequest request, std::string_view reason,
                                   Duration retryAfter, AnswerHook answer)
 {
-    const auto call = std::make_shared<GateCall>(home, std::move(request), std::move(answer), this->observer);
-    ++this->callsInside;
+    const auto call =
+        std::make_shared<GateCall>(thread, std::move(request), std::move(answer), this->observer);
+    ++this->callCount;
     this->refuse(call, reason, retryAfter);
 }
 
-std::optional<GateDecision> LocalGate::refusalOf(const CallAttributes &facts)
+std::optional<GateDecision> LocalGate::refusalFor(const CallAttributes &attributes)
 {
     std::vector<GateAction> actions;
     std::optional<GateDecision> refusal;
     {
         const std::lock_guard guard(this->mutex);
         const Instant now = SteadyClock::now();
-        if (!this->gate.wouldAdmit(now, facts))
-            refusal = this->gate.offer(now, facts, actions);
-        // Failure: offer() learns from the call before it decides and takes one that wouldAdmit() denied.
-        // Symptom: nobody ends that ticket, and its slot is lost for good.
+        if (!this->admission.wouldAdmit(now, attributes))
+            refusal = this->admission.offer(now, attributes, actions);
+        // offer() updates its statistics before it decides, so it may admit a call that wouldAdmit()
+        // rejected. Nobody would end that ticket, and its slot would be lost for good.
         if (refusal && refusal->verdict == GateVerdict::Start)
-            this->gate.finish(now, refusal->ticket, CallOutcome::Cancelled, actions);
+            this->admission.finish(now, refusal->ticket, CallOutcome::Cancelled, actions);
         if (refusal && refusal->verdict == GateVerdict::Queue)
-            this->gate.cancel(now, refusal->ticket, actions);
+            this->admission.cancel(now, refusal->ticket, actions);
         if (refusal && refusal->verdict != GateVerdict::Refuse)
             refusal.reset();
     }
-    this->perform(std::move(actions));
+    this->applyActions(std::move(actions));
     return refusal;
 }
 
-// Load: bookings with keys come while the gate is full. Harm: each would cost the table two writes, one to
-// claim and one to release, for a call that cannot run. The gate is asked before the table is.
+// Asks the gate before it claims the key. Claiming and releasing the key of a call that a full gate refuses
+// would cost two writes to the table.
 void LocalGate::claimKey(const std::shared_ptr<GateCall> &call)
 {
-    if (const std::optional<GateDecision> refusal = this->refusalOf(call->facts()))
+    if (const std::optional<GateDecision> refusal = this->refusalFor(call->attributes()))
         return this->refuse(call, refusalReasonNames.name(refusal->reason), refusal->retryAfter);
 
-    this->openStep(*call, SpanName::Claim);
+    this->openStepSpan(*call, SpanName::Claim);
     this->claims.claim(
-        call->claimName, call->request.attempt, call->deadline, [this, call](const ClaimAnswer &answer) {
-            boost::asio::post(call->home.context, [this, call, answer] { this->afterClaim(call, answer); });
+        call->claimKey, call->request.attempt, call->deadline, [this, call](const ClaimAnswer &answer) {
+            boost::asio::post(call->thread.context, [this, call, answer] { this->afterClaim(call, answer); });
         });
 }
 
 void LocalGate::afterClaim(const std::shared_ptr<GateCall> &call, const ClaimAnswer &answer)
 {
-    closeStep(*call);
+    closeStepSpan(*call);
     switch (answer.verdict) {
     case ClaimVerdict::Granted:
         call->claimed = true;
@@ -153,7 +156,7 @@
     }
 }
 
-// An earlier attempt with this key ran: its caller, or the same one again, gets that answer and nothing runs.
+// An earlier attempt with this key ran. Its recorded answer is returned, and nothing runs again.
 void LocalGate::replay(const std::shared_ptr<GateCall> &call, const RecordedOutcome &outcome)
 {
     CallResponse response;
@@ -179,13 +182,13 @@
     this->answer(call, std::move(response));
 }
 
-void LocalGate::openStep(GateCall &call, SpanName name)
+void LocalGate::openStepSpan(GateCall &call, SpanName name)
 {
     call.stepSpan.emplace(
         this->observer.openSpan(name, formatTraceParent(call.gateSpan.context()), SteadyClock::now()));
 }
 
-void LocalGate::closeStep(GateCall &call)
+void LocalGate::closeStepSpan(GateCall &call)
 {
     if (call.stepSpan)
         call.stepSpan->end(SteadyClock::now());
@@ -198,16 +201,16 @@
     GateDecision decision;
     {
         const std::lock_guard guard(this->mutex);
-        decision = this->gate.offer(SteadyClock::now(), call->facts(), actions);
+        decision = this->admission.offer(SteadyClock::now(), call->attributes(), actions);
         call->ticket = decision.ticket;
         call->upstreamAddress = this->current.address;
         call->upstreamInstance = this->current.instance;
         if (decision.verdict == GateVerdict::Queue) {
-            call->stage = GateCallStage::Waiting;
-            this->waiting.emplace(decision.ticket, call);
+            call->stage = GateCallStage::Queued;
+            this->queuedCalls.emplace(decision.ticket, call);
         }
     }
-    this->perform(std::move(actions));
+    this->applyActions(std::move(actions));
     if (decision.verdict == GateVerdict::Refuse)
         return this->refuse(call, refusalReasonNames.name(decision.reason), decision.retryAfter);
     this->history.record([&] {
@@ -215,91 +218,91 @@
                             std::string(callClassNames.name(call->request.callClass))};
     });
     if (decision.verdict == GateVerdict::Start)
-        return this->begin(call);
-    this->openStep(*call, SpanName::Queue);
-    this->watchQueue(call);
+        return this->start(call);
+    this->openStepSpan(*call, SpanName::Queue);
+    this->scheduleQueueCheck(call);
 }
 
-// A queued call that cannot be answered in time any more is refused at that moment and not at its deadline.
-void LocalGate::watchQueue(const std::shared_ptr<GateCall> &call)
+// Refuses a queued call as soon as it can no longer be answered in time, and not only at its deadline.
+void LocalGate::scheduleQueueCheck(const std::shared_ptr<GateCall> &call)
 {
     const Instant now = SteadyClock::now();
     std::optional<Instant> next;
     {
         const std::lock_guard guard(this->mutex);
-        next = this->gate.nextDeadline();
+        next = this->admission.nextDeadline();
     }
-    call->waitTimer.expires_at(std::max(next.value_or(call->deadline), now + shortestQueueCheck));
+    call->waitTimer.expires_at(std::max(next.value_or(call->deadline), now + minimumQueueCheckInterval));
     call->waitTimer.async_wait([this, call](const boost::system::error_code &error) {
-        if (error || call->stage != GateCallStage::Waiting)
+        if (error || call->stage != GateCallStage::Queued)
             return;
         this->advance();
-        this->watchQueue(call);
+        this->scheduleQueueCheck(call);
     });
 }
 
-// A decision on one thread may start or refuse a call of another; each goes on at its own home.
-void LocalGate::perform(std::vector<GateAction> actions)
+// A decision on one thread may start or refuse calls of other threads; each call goes on in its own thread.
+void LocalGate::applyActions(std::vector<GateAction> actions)
 {
     for (const GateAction &action : actions) {
         std::shared_ptr<GateCall> call;
         {
             const std::lock_guard guard(this->mutex);
-            const auto found = this->waiting.find(action.ticket);
-            if (found == this->waiting.end())
+            const auto found = this->queuedCalls.find(action.ticket);
+            if (found == this->queuedCalls.end())
                 continue;
             call = std::move(found->second);
-            this->waiting.erase(found);
+            this->queuedCalls.erase(found);
         }
-        boost::asio::post(call->home.context, [this, call, action] {
+        boost::asio::post(call->thread.context, [this, call, action] {
             if (action.start)
-                return this->begin(call);
+                return this->start(call);
             this->refuse(call, refusalReasonNames.name(action.reason), action.retryAfter);
         });
     }
 }
 
-// The last point at which a call can be proven not to run. A holder that was paused finds its deadline passed
-// here and does not start, whatever it believes to hold.
-void LocalGate::begin(const std::shared_ptr<GateCall> &call)
+// The last point at which the call is known not to have run. If the process was paused, the deadline has
+// passed here and the call does not start, although it holds a slot and perhaps a claim.
+void LocalGate::start(const std::shared_ptr<GateCall> &call)
 {
     call->stage = GateCallStage::Running;
     call->waitTimer.cancel();
-    call->started = SteadyClock::now();
-    closeStep(*call);
-    const bool late = call->started >= call->deadline;
-    if (late || call->cancelled) {
+    call->startedAt = SteadyClock::now();
+    closeStepSpan(*call);
+    const bool deadlinePassed = call->startedAt >= call->deadline;
+    if (deadlinePassed || call->cancelled) {
         this->freeSlot(call, CallOutcome::Cancelled);
         const RefusalReason reason = RefusalReason::DeadlinePassed;
-        return this->refuse(call, late ? refusalReasonNames.name(reason) : reasonCancelled,
+        return this->refuse(call, deadlinePassed ? refusalReasonNames.name(reason) : reasonCancelled,
                             unreachableRetryAfter);
     }
     this->history.record([&] { return GateStarted{call->request.callerCallId, call->request.attempt}; });
-    const Duration remaining = call->deadline - call->started;
-    this->observer.gateWaited(call->started - call->arrived);
-    this->openStep(*call, SpanName::Upstream);
+    const Duration remaining = call->deadline - call->startedAt;
+    this->observer.gateWaited(call->startedAt - call->arrivedAt);
+    this->openStepSpan(*call, SpanName::Upstream);
     HttpSendOptions options;
     options.timeout = remaining;
-    options.echoHeader = this->names.callId;
+    options.echoHeader = this->headerNames.callId;
     call->sent = true;
     call->sending =
-        call->home.client.send(call->upstreamAddress, this->upstreamRequest(*call, remaining), options,
-                               [this, call](const HttpFailure *failure, HttpResponse response) {
-                                   if (failure != nullptr)
-                                       return this->upstreamFailed(call, *failure);
-                                   this->upstreamAnswered(call, std::move(response));
-                               });
+        call->thread.client.send(call->upstreamAddress, this->upstreamRequest(*call, remaining), options,
+                                 [this, call](const HttpFailure *failure, HttpResponse response) {
+                                     if (failure != nullptr)
+                                         return this->upstreamFailed(call, *failure);
+                                     this->upstreamAnswered(call, std::move(response));
+                                 });
 }
 
-void LocalGate::freeSlot(const std::shared_ptr<GateCall> &call, CallOutcome end)
+void LocalGate::freeSlot(const std::shared_ptr<GateCall> &call, CallOutcome outcome)
 {
-    closeStep(*call);
+    closeStepSpan(*call);
     std::vector<GateAction> actions;
     {
         const std::lock_guard guard(this->mutex);
-        this->gate.finish(SteadyClock::now(), call->ticket, end, actions);
+        this->admission.finish(SteadyClock::now(), call->ticket, outcome, actions);
     }
-    this->perform(std::move(actions));
+    this->applyActions(std::move(actions));
 }
 
 void LocalGate::refuse(const std::shared_ptr<GateCall> &call, std::string_view reason, Duration retryAfter)
@@ -307,7 +310,7 @@
     this->history.record([&] {
         return GateRefused{call->request.callerCallId, call->request.attempt, std::string(reason)};
     });
-    this->tellRefusal(*call, reason, retryAfter);
+    this->logRefusal(*call, reason, retryAfter);
     CallResponse response;
     response.outcome = Outcome::NotRun;
     response.reason = reason;
@@ -315,26 +318,26 @@
     response.retryAfterMilliseconds = retryMilliseconds(retryAfter);
     response.claimHeld = call->claimed;
     if (call->claimed)
-        this->claims.release(call->claimName, call->request.attempt);
+        this->claims.release(call->claimKey, call->request.attempt);
     this->answer(call, std::move(response));
 }
 
-void LocalGate::tellRefusal(const GateCall &call, std::string_view reason, Duration retryAfter) const
+void LocalGate::logRefusal(const GateCall &call, std::string_view reason, Duration retryAfter) const
 {
     const Instant now = SteadyClock::now();
     GateRefusal refusal;
     refusal.callId = call.request.callerCallId;
     refusal.reason = reason;
-    refusal.waited = now - call.arrived;
+    refusal.waited = now - call.arrivedAt;
     refusal.left = call.deadline - now;
     refusal.retryAfter = retryAfter;
     refusal.priority = call.request.priority;
     refusal.lateAccepted = call.request.lateAccepted;
     {
         const std::lock_guard guard(this->mutex);
-        refusal.running = this->gate.running();
-        refusal.queued = this->gate.queued();
-        refusal.condition = upstreamConditionNames.name(this->gate.condition());
+        refusal.running = this->admission.running();
+        refusal.queued = this->admission.queued();
+        refusal.condition = upstreamConditionNames.name(this->admission.condition());
     }
     this->observer.gateRefused(refusal);
 }
@@ -347,14 +350,15 @@
     call->waitTimer.cancel();
     {
         const std::lock_guard guard(this->mutex);
-        response.freeSlots = this->gate.freeSlots();
-        response.queued = this->gate.queued();
-        response.draining = this->gate.condition() == UpstreamCondition::Draining;
+        response.freeSlots = this->admission.freeSlots();
+        response.queued = this->admission.queued();
+        response.draining = this->admission.condition() == UpstreamCondition::Draining;
         const Instant now = SteadyClock::now();
-        response.waitMicroseconds = wholeMicroseconds(this->gate.expectedWait(now, call->factsAnew(now)));
+        response.waitMicroseconds =
+            nonNegativeMicroseconds(this->admission.expectedWait(now, call->attributesIfArrivedAt(now)));
     }
     if (call->sent && response.outcome == Outcome::Done)
-        response.ranMicroseconds = wholeMicroseconds(SteadyClock::now() - call->started);
+        response.ranMicroseconds = nonNegativeMicroseconds(SteadyClock::now() - call->startedAt);
     if (response.outcome != Outcome::NotRun) {
         this->history.record([&] {
             return GateFinished{call->request.callerCallId, call->request.attempt,
@@ -367,52 +371,53 @@
         const bool broke = response.reason == reasonBroken;
         this->observer.gateEnded({call->request.callerCallId, call->upstreamInstance,
                                   outcomeNames.name(response.outcome), response.reason, response.status,
-                                  call->started - call->arrived, SteadyClock::now() - call->started,
+                                  call->startedAt - call->arrivedAt, SteadyClock::now() - call->startedAt,
                                   response.freeSlots, response.queued,
                                   broke ? fingerprintsOf(call->request).front() : 0});
     }
-    closeStep(*call);
+    closeStepSpan(*call);
     call->gateSpan.field("outcome", outcomeNames.name(response.outcome));
     call->gateSpan.end(SteadyClock::now());
     const AnswerHook hook = std::move(call->answer);
     hook(std::move(response));
-    --this->callsInside; // Only now: whoever passes the answer on has counted it as not sent.
+    // Last, because the hook has counted the answer as unsent: a shutdown must see it in one of the two.
+    --this->callCount;
 }
 
 void LocalGate::refuseIfQueued(const std::shared_ptr<GateCall> &call)
 {
-    if (call->stage == GateCallStage::Waiting)
+    if (call->stage == GateCallStage::Queued)
         this->cancel(call);
 }
 
 void LocalGate::refuseQueuedCalls()
 {
     const std::lock_guard guard(this->mutex);
-    for (const auto &[ticket, call] : this->waiting)
-        boost::asio::post(call->home.context, [this, call = call] { this->refuseIfQueued(call); });
+    for (const auto &[ticket, call] : this->queuedCalls)
+        boost::asio::post(call->thread.context, [this, call = call] { this->refuseIfQueued(call); });
 }
 
 void LocalGate::cancel(const std::shared_ptr<GateCall> &call)
 {
     call->cancelled = true;
     switch (call->stage) {
-    case GateCallStage::Waiting: {
+    case GateCallStage::Queued: {
         std::vector<GateAction> actions;
-        bool taken = false;
+        bool removed = false;
         {
             const std::lock_guard guard(this->mutex);
-            taken = this->waiting.erase(call->ticket) > 0;
-            if (taken)
-                this->gate.cancel(SteadyClock::now(), call->ticket, actions);
+            removed = this->queuedCalls.erase(call->ticket) > 0;
+            if (removed)
+                this->admission.cancel(SteadyClock::now(), call->ticket, actions);
         }
-        this->perform(std::move(actions));
-        // Otherwise its start or refusal is on the way and finds it cancelled.
-        if (taken)
+        this->applyActions(std::move(actions));
+        // Otherwise its start or refusal is already posted and will see that it is cancelled.
+        if (removed)
             this->refuse(call, reasonCancelled, unreachableRetryAfter);
         return;
     }
     case GateCallStage::Running:
-        if (call->mayBeCutOff())
+        if (call->isCancellable())
             call->sending.cancel();
         return;
     case GateCallStage::Claiming:
@@ -430,17 +435,17 @@
         replaced = this->current.instance != announcement.instance
                    || this->current.startedAt != announcement.startedAt;
         this->current = announcement;
-        this->gate.setState(SteadyClock::now(), announcement.condition, announcement.slots, actions);
+        this->admission.setState(SteadyClock::now(), announcement.condition, announcement.slots, actions);
     }
     if (replaced)
-        this->noteUpstreamEnded();
-    this->perform(std::move(actions));
+        this->handleUpstreamExit();
+    this->applyActions(std::move(actions));
 }
 
 void LocalGate::setMaximumQueue(std::uint32_t maximumQueue)
 {
     const std::lock_guard guard(this->mutex);
-    this->gate.setMaximumQueue(maximumQueue);
+    this->admission.setMaximumQueue(maximumQueue);
 }
 
 void LocalGate::advance()
@@ -448,9 +453,9 @@
     std::vector<GateAction> actions;
     {
         const std::lock_guard guard(this->mutex);
-        this->gate.advance(SteadyClock::now(), actions);
+        this->admission.advance(SteadyClock::now(), actions);
     }
-    this->perform(std::move(actions));
+    this->applyActions(std::move(actions));
 }
 
 bool LocalGate::serves(const std::string &cluster) const
@@ -462,13 +467,13 @@
 std::uint32_t LocalGate::queued() const
 {
     const std::lock_guard guard(this->mutex);
-    return this->gate.queued();
+    return this->admission.queued();
 }
 
 std::uint32_t LocalGate::running() const
 {
     const std::lock_guard guard(this->mutex);
-    return this->gate.running();
+    return this->admission.running();
 }
 
 UpstreamAnnouncement LocalGate::announcement() const
--- a/Services/Node/Gate/LocalGate.h
+++ b/Services/Node/Gate/LocalGate.h
@@ -1,5 +1,5 @@
-// The gate of the upstream beside this node, with its input and output: it claims idempotency keys, asks
-// LibDecide what may start, sends calls to the upstream, and says of each call whether it ran.
+// The gate of the upstream next to this node, including its I/O: claims idempotency keys, asks LibDecide
+// which calls may start, sends them to the upstream, and reports whether each call ran.
 #pragma once
 
 #include "ClaimHooks.h"
@@ -27,7 +27,7 @@
 
 namespace Sagecrank {
 
-// A request thread, as the gate needs it.
+// The parts of a request thread that the gate uses.
 struct RequestThread
 {
     boost::asio::io_context &context;
@@ -36,7 +36,7 @@
 
 class GateCall;
 
-// When a caller is told to come back although nothing is known about when the upstream will be well.
+// Retry delay if it is not known when the upstream will be available.
 inline constexpr Duration unreachableRetryAfter = std::chrono::seconds(1);
 
 class LocalGate
@@ -46,84 +46,86 @@
 
     // The observer outlives the gate.
 
-    LocalGate(std::string nodeId, AdmissionHooks admission, CallHeaders names, ClaimHooks claims,
+    LocalGate(std::string nodeId, AdmissionHooks admission, CallHeaders headerNames, ClaimHooks claims,
               QuarantineHooks quarantine, HistoryRecorder &history, RequestObserver &observer);
 
-    // Runs on the home's thread, and so does the answer, which comes exactly once.
-    std::shared_ptr<GateCall> submit(RequestThread home, CallRequest request, AnswerHook answer);
+    // Called on the request thread, where `answer` is called as well, exactly once.
+    std::shared_ptr<GateCall> submit(RequestThread thread, CallRequest request, AnswerHook answer);
 
-    // Of a call whose body is here after `bodyTakes`: answers it when it would be refused then, and keeps
-    // nothing of it otherwise.
-    bool tryRefuseBeforeBody(RequestThread home, CallRequest request, Duration bodyTakes, AnswerHook answer);
+    // For a call whose body will have arrived after `bodyTransferTime`: answers the call and returns true if
+    // it would be refused then. Keeps no state otherwise.
+    bool tryRefuseBeforeBody(RequestThread thread, CallRequest request, Duration bodyTransferTime,
+                             AnswerHook answer);
 
-    // Answers a call that submit() was not given.
-    void refuseUnsubmitted(RequestThread home, CallRequest request, std::string_view reason,
+    // Refuses a call that was not passed to submit().
+    void refuseUnsubmitted(RequestThread thread, CallRequest request, std::string_view reason,
                            Duration retryAfter, AnswerHook answer);
 
-    // The caller gave up. A call that waits is taken out; one that runs is cut off only when it may be run
-    // again, since cutting a reservation off leaves nobody knowing whether it ran.
+    // The caller gave up. A queued call is removed. A running call is cut off only if it may run again: after
+    // cutting off a reservation, nobody would know whether it had run.
     void cancel(const std::shared_ptr<GateCall> &call);
 
-    // The caller's node is about to end: a call that waits is refused, one that runs goes on.
+    // The caller's node is shutting down: a queued call is refused, a running one goes on.
     void refuseIfQueued(const std::shared_ptr<GateCall> &call);
 
-    // From any thread.
+    // These functions may be called from any thread.
     void announce(const UpstreamAnnouncement &announcement);
-    void refuseQueuedCalls();                         // This node is about to end: all that waits is refused.
-    void setMaximumQueue(std::uint32_t maximumQueue); // As the configuration says for the service.
+    void refuseQueuedCalls();                         // This node is shutting down.
+    void setMaximumQueue(std::uint32_t maximumQueue); // From the configuration of the service.
 
-    std::uint32_t inFlight() const { return this->callsInside.load(); } // Waiting, claiming or running.
+    std::uint32_t inFlight() const { return this->callCount.load(); } // Claiming, queued or running.
     std::uint32_t queued() const;
     std::uint32_t running() const;
     UpstreamAnnouncement announcement() const;
 
 private:
     bool serves(const std::string &cluster) const;
-    std::optional<GateDecision> refusalOf(const CallAttributes &facts);
+    std::optional<GateDecision> refusalFor(const CallAttributes &attributes);
     void claimKey(const std::shared_ptr<GateCall> &call);
     void afterClaim(const std::shared_ptr<GateCall> &call, const ClaimAnswer &answer);
     void replay(const std::shared_ptr<GateCall> &call, const RecordedOutcome &outcome);
     void answerUnknown(const std::shared_ptr<GateCall> &call, std::string_view reason, std::uint32_t status,
                        Duration retryAfter);
     void offer(const std::shared_ptr<GateCall> &call);
-    void perform(std::vector<GateAction> actions);
-    void openStep(GateCall &call, SpanName name);
-    static void closeStep(GateCall &call);
-    void watchQueue(const std::shared_ptr<GateCall> &call);
+    void applyActions(std::vector<GateAction> actions);
+    void openStepSpan(GateCall &call, SpanName name);
+    static void closeStepSpan(GateCall &call);
+    void scheduleQueueCheck(const std::shared_ptr<GateCall> &call);
     void advance();
-    void begin(const std::shared_ptr<GateCall> &call);
+    void start(const std::shared_ptr<GateCall> &call);
     void upstreamAnswered(const std::shared_ptr<GateCall> &call, HttpResponse response);
     void upstreamFailed(const std::shared_ptr<GateCall> &call, const HttpFailure &failure);
-    void noteAnswer(const GateCall &call);
-    void noteFailure(const GateCall &call, const HttpFailure &failure);
-    void noteUpstreamEnded();
-    void checkUpstream(RequestThread home, const std::string &address);
-    void lookAgain(RequestThread home, const std::string &address, Instant begun);
-    void upstreamChecked(RequestThread home, const std::string &address, Instant begun, Reachability found);
-    void freeSlot(const std::shared_ptr<GateCall> &call, CallOutcome end);
+    void recordAnswer(const GateCall &call);
+    void recordFailure(const GateCall &call, const HttpFailure &failure);
+    void handleUpstreamExit();
+    void checkUpstream(RequestThread thread, const std::string &address);
+    void recheckUpstream(RequestThread thread, const std::string &address, Instant checkStartedAt);
+    void upstreamChecked(RequestThread thread, const std::string &address, Instant checkStartedAt,
+                         Reachability reachability);
+    void freeSlot(const std::shared_ptr<GateCall> &call, CallOutcome outcome);
     void refuse(const std::shared_ptr<GateCall> &call, std::string_view reason, Duration retryAfter);
-    void tellRefusal(const GateCall &call, std::string_view reason, Duration retryAfter) const;
+    void logRefusal(const GateCall &call, std::string_view reason, Duration retryAfter) const;
     void answer(const std::shared_ptr<GateCall> &call, CallResponse response);
     HttpRequest upstreamRequest(const GateCall &call, Duration remaining) const;
     bool provesNotRun(const HttpResponse &response) const;
-    bool isOwnAnswer(const HttpResponse &response) const;
-    void upstreamRefused(const std::shared_ptr<GateCall> &call, const HttpResponse &response);
+    bool isValidAnswer(const HttpResponse &response) const;
+    void handleProvenNotRun(const std::shared_ptr<GateCall> &call, const HttpResponse &response);
 
     const std::string nodeId;
-    const CallHeaders names;
+    const CallHeaders headerNames;
     const ClaimHooks claims;
     const QuarantineHooks quarantine;
     HistoryRecorder &history;
     RequestObserver &observer;
 
-    mutable std::mutex mutex; // Guards what follows; never held over input or output.
-    const AdmissionHooks gate;
+    mutable std::mutex mutex; // Guards the members below; never held during I/O.
+    const AdmissionHooks admission;
     UpstreamAnnouncement current;
-    CrashDetector witness;
-    bool upstreamCheckUnderWay = false;                            // After a broken connection.
-    std::unordered_map<Ticket, std::shared_ptr<GateCall>> waiting; // Exactly the queued tickets.
+    CrashDetector crashDetector;
+    bool upstreamCheckUnderWay = false;                                // After a broken connection.
+    std::unordered_map<Ticket, std::shared_ptr<GateCall>> queuedCalls; // Exactly the queued tickets.
 
-    std::atomic<std::uint32_t> callsInside = 0;
+    std::atomic<std::uint32_t> callCount = 0;
 };
 
 } // namespace Sagecrank
--- a/Services/Node/Gate/LocalGateUpstream.cpp
+++ b/Services/Node/Gate/LocalGateUpstream.cpp
@@ -1,4 +1,5 @@
-// The exchange between the gate and its upstream: what a call is sent as, and what its answer proves.
+// The exchange with the upstream: what is sent for a call, what its answer proves, and how crashes are
+// detected.
 #include "LocalGate.h"
 
 #include "GateCall.h"
@@ -22,8 +23,8 @@
 // The upstream is on this host.
 constexpr Duration upstreamCheckTimeout = Milliseconds(500);
 
-// Between the first connection that an upstream closes as it ends and the last.
-constexpr Duration upstreamClosingTime = Milliseconds(100);
+// Time in which an exiting upstream closes its connections and its listening socket.
+constexpr Duration upstreamCloseDuration = Milliseconds(100);
 
 Duration retryAfterOf(const HttpResponse &response)
 {
@@ -32,8 +33,8 @@
     return std::chrono::seconds(std::clamp(seconds, 1, 3600));
 }
 
-// Statuses that callers take for a promise that nothing ran.
-bool saysNotRun(std::uint32_t status)
+// Statuses from which callers conclude that the call did not run.
+bool impliesNotRun(std::uint32_t status)
 {
     constexpr std::uint32_t statusRequestTimeout = 408;
     constexpr std::uint32_t statusTooManyRequests = 429;
@@ -57,45 +58,48 @@
         if (!name.empty() && !value.empty())
             request.headers.push_back({name, value});
     };
-    add(this->names.deadline, std::to_string(std::max<std::int64_t>(milliseconds, 1)));
-    add(this->names.attempt, call.request.attempt);
-    add(this->names.callId, call.request.callerCallId);
-    add(this->names.idempotencyKey, call.request.idempotencyKey);
-    add(this->names.expectedInstance, call.upstreamInstance);
-    add(this->names.trace, formatTraceParent(call.stepSpan->context()));
+    add(this->headerNames.deadline, std::to_string(std::max<std::int64_t>(milliseconds, 1)));
+    add(this->headerNames.attempt, call.request.attempt);
+    add(this->headerNames.callId, call.request.callerCallId);
+    add(this->headerNames.idempotencyKey, call.request.idempotencyKey);
+    add(this->headerNames.expectedInstance, call.upstreamInstance);
+    add(this->headerNames.trace, formatTraceParent(call.stepSpan->context()));
     request.body = call.request.body;
     return request;
 }
 
-// Whether the upstream says that it did not run the call. No other answer says so, whatever its status.
+// Whether the answer proves that the upstream did not run the call. No other answer does, whatever its
+// status.
 bool LocalGate::provesNotRun(const HttpResponse &response) const
 {
-    if (!this->names.expectedInstance.empty() && response.status == statusMisdirected)
+    if (!this->headerNames.expectedInstance.empty() && response.status == statusMisdirected)
         return true;
-    const std::string_view said = findHeader(response.headers, this->names.notRun);
-    if (this->names.notRunValue.empty())
-        return !said.empty();
-    return response.status == statusUnavailable && said == this->names.notRunValue;
+    const std::string_view reported = findHeader(response.headers, this->headerNames.notRun);
+    if (this->headerNames.notRunValue.empty())
+        return !reported.empty();
+    return response.status == statusUnavailable && reported == this->headerNames.notRunValue;
 }
 
-// Failure: a faulty upstream sends bytes that look like an answer. Symptom: a caller takes them for its own.
-// The proof that every sound answer carries is missing, or the body is coded although nobody asked for it.
-bool LocalGate::isOwnAnswer(const HttpResponse &response) const
+// Rejects bytes of a faulty upstream that look like an answer, which a caller would take for its own: the
+// header that every valid answer carries is missing, or the body has a content encoding that nobody asked
+// for.
+bool LocalGate::isValidAnswer(const HttpResponse &response) const
 {
-    if (this->names.proof.empty())
+    if (this->headerNames.proof.empty())
         return true;
     if (!findHeader(response.headers, "Content-Encoding").empty())
         return false;
-    return response.status >= 300 || !findHeader(response.headers, this->names.proof).empty();
+    return response.status >= 300 || !findHeader(response.headers, this->headerNames.proof).empty();
 }
 
-void LocalGate::upstreamRefused(const std::shared_ptr<GateCall> &call, const HttpResponse &response)
+void LocalGate::handleProvenNotRun(const std::shared_ptr<GateCall> &call, const HttpResponse &response)
 {
     this->observer.upstreamShed(call->request.callerCallId, call->request.cluster, response.status);
     this->freeSlot(call, CallOutcome::Shed);
     if (response.status != statusMisdirected)
         return this->refuse(call, reasonShed, retryAfterOf(response));
-    // Another upstream stands at this address: nothing more goes there until one announces itself.
+    // Another upstream listens at this address. Nothing more is sent there until an upstream announces
+    // itself.
     UpstreamAnnouncement gone = this->announcement();
     if (gone.instance == call->upstreamInstance) {
         gone.condition = UpstreamCondition::NotReady;
@@ -107,28 +111,28 @@
 void LocalGate::upstreamAnswered(const std::shared_ptr<GateCall> &call, HttpResponse response)
 {
     if (this->provesNotRun(response))
-        return this->upstreamRefused(call, response);
-    if (!this->isOwnAnswer(response)) {
+        return this->handleProvenNotRun(call, response);
+    if (!this->isValidAnswer(response)) {
         this->freeSlot(call, CallOutcome::Failed);
         if (call->claimed)
-            this->claims.leaveUnknown(call->claimName, call->request.attempt);
+            this->claims.leaveUnknown(call->claimKey, call->request.attempt);
         return this->answerUnknown(call, reasonSpoilt, statusBadGateway, unreachableRetryAfter);
     }
-    // Failure: an upstream says "unavailable" without saying that it did not run the call. Symptom: passed
-    // on, the status would promise the caller that it may come again, and a booking would run twice.
-    if (!this->names.proof.empty() && saysNotRun(response.status)) {
+    // The upstream answered "unavailable" without proof that it did not run the call. If the status was
+    // passed on, the caller would conclude that it may retry, and a booking could run twice.
+    if (!this->headerNames.proof.empty() && impliesNotRun(response.status)) {
         this->freeSlot(call, CallOutcome::Failed);
         return this->answerUnknown(call, reasonNoProof, statusBadGateway, unreachableRetryAfter);
     }
-    this->noteAnswer(*call);
-    this->observer.upstreamTook(SteadyClock::now() - call->started);
+    this->recordAnswer(*call);
+    this->observer.upstreamTook(SteadyClock::now() - call->startedAt);
     this->freeSlot(call, response.status >= 500 ? CallOutcome::Failed : CallOutcome::Succeeded);
     if (call->claimed) {
         RecordedOutcome recorded;
         recorded.status = response.status;
         recorded.contentType = findHeader(response.headers, "Content-Type");
         recorded.body = response.body;
-        this->claims.finish(call->claimName, call->request.attempt, std::move(recorded));
+        this->claims.finish(call->claimKey, call->request.attempt, std::move(recorded));
     }
     CallResponse answer;
     answer.outcome = Outcome::Done;
@@ -143,104 +147,106 @@
 
 void LocalGate::upstreamFailed(const std::shared_ptr<GateCall> &call, const HttpFailure &failure)
 {
-    this->noteFailure(*call, failure);
+    this->recordFailure(*call, failure);
     this->freeSlot(call, call->cancelled ? CallOutcome::Cancelled : CallOutcome::Failed);
     if (!failure.mayHaveBeenSent) {
         call->sent = false;
         return this->refuse(call, reasonUnreachable, unreachableRetryAfter);
     }
     if (call->claimed)
-        this->claims.leaveUnknown(call->claimName, call->request.attempt);
-    const bool late = SteadyClock::now() >= call->deadline;
-    this->answerUnknown(call, late ? reasonDeadline : reasonBroken,
-                        late ? statusGatewayTimeout : statusBadGateway, unreachableRetryAfter);
+        this->claims.leaveUnknown(call->claimKey, call->request.attempt);
+    const bool deadlinePassed = SteadyClock::now() >= call->deadline;
+    this->answerUnknown(call, deadlinePassed ? reasonDeadline : reasonBroken,
+                        deadlinePassed ? statusGatewayTimeout : statusBadGateway, unreachableRetryAfter);
 }
 
-void LocalGate::noteAnswer(const GateCall &call)
+void LocalGate::recordAnswer(const GateCall &call)
 {
     {
         const std::lock_guard guard(this->mutex);
-        this->witness.recordAnswer(call.started);
+        this->crashDetector.recordAnswer(call.startedAt);
     }
     if (this->quarantine.reportAnswer)
         this->quarantine.reportAnswer(call.request);
 }
 
-// What this node ended itself, or gave up at the deadline, says nothing about the upstream.
-void LocalGate::noteFailure(const GateCall &call, const HttpFailure &failure)
+// A call that this node cut off, or that reached its deadline, says nothing about the upstream.
+void LocalGate::recordFailure(const GateCall &call, const HttpFailure &failure)
 {
     const Instant now = SteadyClock::now();
-    const bool cutOff = call.cancelled && call.mayBeCutOff();
+    const bool cutOff = call.cancelled && call.isCancellable();
     if (cutOff || now >= call.deadline)
         return;
     {
         const std::lock_guard guard(this->mutex);
-        // What could not be sent did not run; where others broke off, it is a reason to look.
-        if (!failure.mayHaveBeenSent && !this->witness.hasUnexplainedBreaks())
+        // A call that could not be sent did not run, but if other connections broke it is a reason to check
+        // the upstream.
+        if (!failure.mayHaveBeenSent && !this->crashDetector.hasUnexplainedBreaks())
             return;
         if (failure.mayHaveBeenSent) {
             for (const RequestFingerprint request : fingerprintsOf(call.request))
-                this->witness.recordBrokenConnection(now, request);
+                this->crashDetector.recordBrokenConnection(now, request);
         }
     }
-    this->checkUpstream(call.home, call.upstreamAddress);
+    this->checkUpstream(call.thread, call.upstreamAddress);
 }
 
-// Waiting for the next call to find the upstream gone takes seconds where placing avoids it already.
-void LocalGate::checkUpstream(RequestThread home, const std::string &address)
+// Checks the upstream actively: waiting for the next call to find it gone would take seconds, since load
+// balancing already avoids it.
+void LocalGate::checkUpstream(RequestThread thread, const std::string &address)
 {
-    const Instant begun = SteadyClock::now();
+    const Instant checkStartedAt = SteadyClock::now();
     {
         const std::lock_guard guard(this->mutex);
         if (this->upstreamCheckUnderWay)
             return;
         this->upstreamCheckUnderWay = true;
     }
-    home.client.checkReachable(address, upstreamCheckTimeout, [=, this](Reachability found) {
-        if (found == Reachability::Reachable)
-            return this->lookAgain(home, address, begun);
-        this->upstreamChecked(home, address, begun, found);
+    thread.client.checkReachable(address, upstreamCheckTimeout, [=, this](Reachability reachability) {
+        if (reachability == Reachability::Reachable)
+            return this->recheckUpstream(thread, address, checkStartedAt);
+        this->upstreamChecked(thread, address, checkStartedAt, reachability);
     });
 }
 
-// Failure: an upstream ends, and the connection of the request that crashed it is the first to close.
-// Symptom: the others and what it listens on are open for a moment more, and the crash passes for a broken
-// connection.
-void LocalGate::lookAgain(RequestThread home, const std::string &address, Instant begun)
+// Checks again after a short delay. When an upstream crashes, the connection of the request that crashed it
+// is the first to close. The other connections and the listening socket stay open for a moment, so the crash
+// would be taken for a broken connection.
+void LocalGate::recheckUpstream(RequestThread thread, const std::string &address, Instant checkStartedAt)
 {
-    const auto timer = std::make_shared<boost::asio::steady_timer>(home.context, upstreamClosingTime);
-    // It lives as long as its hook.
-    timer->async_wait([this, timer, home, address, begun](const boost::system::error_code &) {
-        home.client.checkReachable(address, upstreamCheckTimeout, [=, this](Reachability found) {
-            this->upstreamChecked(home, address, begun, found);
+    const auto timer = std::make_shared<boost::asio::steady_timer>(thread.context, upstreamCloseDuration);
+    // The handler keeps the timer alive.
+    timer->async_wait([this, timer, thread, address, checkStartedAt](const boost::system::error_code &) {
+        thread.client.checkReachable(address, upstreamCheckTimeout, [=, this](Reachability reachability) {
+            this->upstreamChecked(thread, address, checkStartedAt, reachability);
         });
     });
 }
 
-void LocalGate::upstreamChecked(RequestThread home, const std::string &address, Instant begun,
-                                Reachability found)
+void LocalGate::upstreamChecked(RequestThread thread, const std::string &address, Instant checkStartedAt,
+                                Reachability reachability)
 {
-    bool more = false;
+    bool checkAgain = false;
     {
         const std::lock_guard guard(this->mutex);
         this->upstreamCheckUnderWay = false;
-        if (found == Reachability::Reachable) {
-            this->witness.recordAnswer(begun);
-            more = this->witness.hasUnexplainedBreaks();
+        if (reachability == Reachability::Reachable) {
+            this->crashDetector.recordAnswer(checkStartedAt);
+            checkAgain = this->crashDetector.hasUnexplainedBreaks();
         }
     }
-    if (found == Reachability::Refused)
-        this->noteUpstreamEnded();
-    if (more)
-        this->checkUpstream(home, address);
+    if (reachability == Reachability::Refused)
+        this->handleUpstreamExit();
+    if (checkAgain)
+        this->checkUpstream(thread, address);
 }
 
-void LocalGate::noteUpstreamEnded()
+void LocalGate::handleUpstreamExit()
 {
     std::vector<RequestFingerprint> requests;
     {
         const std::lock_guard guard(this->mutex);
-        requests = this->witness.recordUpstreamExit(SteadyClock::now());
+        requests = this->crashDetector.recordUpstreamExit(SteadyClock::now());
     }
     if (!requests.empty() && this->quarantine.reportCrash)
         this->quarantine.reportCrash(requests);
--- a/Services/Node/Gate/QuarantineHooks.h
+++ b/Services/Node/Gate/QuarantineHooks.h
@@ -1,4 +1,4 @@
-// How the path of a request asks about requests that crash upstreams, and reports what it sees of them.
+// Hooks through which the request path checks the quarantine and reports crashes and answers.
 #pragma once
 
 #include <LibCore/Time.h>
@@ -11,12 +11,12 @@
 
 namespace Sagecrank {
 
-// May be called from any thread. Those that are not set are not called, and nothing is refused.
+// May be called from any thread. Hooks that are not set are not called, and nothing is refused.
 struct QuarantineHooks
 {
-    // For how long a request like this one is refused; nothing when it may run.
+    // How long the request is still refused; nothing if it may run.
     std::function<std::optional<Duration>(const CallRequest &)> remainingQuarantine;
-    // The upstream beside this node crashed while these ran on it.
+    // The upstream next to this node crashed while these requests were running.
     std::function<void(const std::vector<RequestFingerprint> &)> reportCrash;
     // The upstream answered the request.
     std::function<void(const CallRequest &)> reportAnswer;
--- a/Services/Node/Gate/RequestFingerprint.cpp
+++ b/Services/Node/Gate/RequestFingerprint.cpp
@@ -1,4 +1,4 @@
-// Hashes of requests.
+// Hashes the identifying parts of a request.
 #include "RequestFingerprint.h"
 
 #include <LibNet/HttpMessages.h>
@@ -11,8 +11,8 @@
 
 namespace {
 
-// Each field is hashed with what came before it as the seed, so that none can pass for a part of its
-// neighbour.
+// Each field is hashed with the previous hash as its seed, so that moving bytes between adjacent fields
+// changes the result.
 std::uint64_t fingerprintOf(const CallRequest &request, std::string_view target)
 {
     std::uint64_t hash = 0;
--- a/Services/Node/Gate/RequestFingerprint.h
+++ b/Services/Node/Gate/RequestFingerprint.h
@@ -1,4 +1,4 @@
-// Names by which a request is recognised when its caller sends it again under another call id.
+// Fingerprints that identify a request when its caller retries it with another call id.
 #pragma once
 
 #include <LibWire/PeerMessages.h>
@@ -8,8 +8,9 @@
 
 namespace Sagecrank {
 
-// One of its method, host, path, credentials and body. One more with the query, if there is one: what is
-// particular to a request may be the query of a path that many use, or a path whose query differs each time.
+// Returns a fingerprint of method, host, path, credentials and body, and a second one that includes the query
+// if there is one. Both are needed: some crashing requests differ from others only in the query, while others
+// change their query with each retry.
 std::vector<std::uint64_t> fingerprintsOf(const CallRequest &request);
 
 } // namespace Sagecrank
--- a/Services/Node/Gate/RequestQuarantine.cpp
+++ b/Services/Node/Gate/RequestQuarantine.cpp
@@ -1,4 +1,4 @@
-// Between notices of the mesh and the requests that they are about.
+// Converts between notices of the mesh and crash reports, and applies them to requests.
 #include "RequestQuarantine.h"
 
 #include "RequestFingerprint.h"
@@ -9,17 +9,18 @@
 
 namespace {
 
-constexpr auto noticeLife =
+constexpr auto noticeLifetimeSeconds =
     static_cast<std::uint16_t>(std::chrono::duration_cast<std::chrono::seconds>(crashReportLifetime).count());
 
 constexpr std::uint64_t millisecondsPerSecond = 1000;
 
-Notice noticeOf(RequestFingerprint request, std::uint64_t crash, CrashReportState state, std::uint16_t life)
+Notice noticeOf(RequestFingerprint request, std::uint64_t crash, CrashReportState state,
+                std::uint16_t lifetimeSeconds)
 {
-    return {request, crash, static_cast<std::uint8_t>(state), life};
+    return {request, crash, static_cast<std::uint8_t>(state), lifetimeSeconds};
 }
 
-// Those of a newer version of this protocol, with states that mean something else, are left alone.
+// Ignores notices with unknown states, which a newer version of the protocol may send.
 std::vector<CrashReport> reportsOf(Instant now, const std::vector<Notice> &notices)
 {
     std::vector<CrashReport> reports;
@@ -40,14 +41,18 @@
 
 QuarantineHooks RequestQuarantine::requestHooks()
 {
-    QuarantineHooks made;
-    made.remainingQuarantine = [this](const CallRequest &request) { return this->refusedFor(request); };
-    made.reportCrash = [this](const std::vector<RequestFingerprint> &requests) { this->crashed(requests); };
-    made.reportAnswer = [this](const CallRequest &request) { this->answered(request); };
-    return made;
+    QuarantineHooks requestHooks;
+    requestHooks.remainingQuarantine = [this](const CallRequest &request) {
+        return this->remainingQuarantine(request);
+    };
+    requestHooks.reportCrash = [this](const std::vector<RequestFingerprint> &requests) {
+        this->reportCrash(requests);
+    };
+    requestHooks.reportAnswer = [this](const CallRequest &request) { this->reportAnswer(request); };
+    return requestHooks;
 }
 
-std::optional<Duration> RequestQuarantine::refusedFor(const CallRequest &request) const
+std::optional<Duration> RequestQuarantine::remainingQuarantine(const CallRequest &request) const
 {
     const RcuPointer<View>::Reader view(this->view);
     if (!view)
@@ -60,18 +65,18 @@
     return std::nullopt;
 }
 
-void RequestQuarantine::crashed(const std::vector<RequestFingerprint> &requests) const
+void RequestQuarantine::reportCrash(const std::vector<RequestFingerprint> &requests) const
 {
     const std::uint64_t crash = this->hooks.random();
     std::vector<Notice> notices;
     for (const RequestFingerprint request : requests) {
-        notices.push_back(noticeOf(request, crash, CrashReportState::Crashed, noticeLife));
+        notices.push_back(noticeOf(request, crash, CrashReportState::Crashed, noticeLifetimeSeconds));
         this->hooks.publish(notices.back());
     }
     this->hooks.crashesReported(notices);
 }
 
-void RequestQuarantine::answered(const CallRequest &request)
+void RequestQuarantine::reportAnswer(const CallRequest &request)
 {
     const std::vector<RequestFingerprint> fingerprints = fingerprintsOf(request);
     {
@@ -83,52 +88,53 @@
     if (!view)
         return;
     for (const CrashReport &report : view->reports) {
-        const bool concerned = report.state == CrashReportState::Crashed
-                               && std::ranges::find(fingerprints, report.request) != fingerprints.end();
-        if (concerned)
+        const bool isSuspected = report.state == CrashReportState::Crashed
+                                 && std::ranges::find(fingerprints, report.request) != fingerprints.end();
+        if (isSuspected)
             this->hooks.publish(
-                noticeOf(report.request, report.crash, CrashReportState::Cleared, noticeLife));
+                noticeOf(report.request, report.crash, CrashReportState::Cleared, noticeLifetimeSeconds));
     }
 }
 
-// Failure: all upstreams of a service end under one request. Symptom: another that many send ran at each of
-// the crashes, and is refused with it for minutes.
-void RequestQuarantine::clearAnswered(Instant now, const std::vector<CrashReport> &reports) const
+// Clears crash reports of requests that were answered recently. If one request crashes all upstreams of a
+// service, another request that many callers send is running at each of the crashes, and would be refused for
+// minutes as well.
+void RequestQuarantine::clearRecentlyAnswered(Instant now, const std::vector<CrashReport> &reports) const
 {
     for (const CrashReport &report : reports) {
-        bool recent = false;
+        bool answeredRecently = false;
         {
             const std::lock_guard guard(this->mutex);
-            recent = this->recentAnswers.contains(now, report.request);
+            answeredRecently = this->recentAnswers.contains(now, report.request);
         }
-        if (recent && report.state == CrashReportState::Crashed)
+        if (answeredRecently && report.state == CrashReportState::Crashed)
             this->hooks.publish(
-                noticeOf(report.request, report.crash, CrashReportState::Cleared, noticeLife));
+                noticeOf(report.request, report.crash, CrashReportState::Cleared, noticeLifetimeSeconds));
     }
 }
 
 void RequestQuarantine::update(Instant now, const std::vector<Notice> &notices)
 {
     const std::vector<CrashReport> reports = reportsOf(now, notices);
-    this->clearAnswered(now, reports);
+    this->clearRecentlyAnswered(now, reports);
     const CrashQuarantine next(reports);
-    this->logChanges(next);
+    this->reportChanges(next);
     this->view.replace(reports.empty() ? nullptr : std::make_unique<const View>(View{reports, next}));
 }
 
-void RequestQuarantine::logChanges(const CrashQuarantine &next)
+void RequestQuarantine::reportChanges(const CrashQuarantine &next)
 {
     std::vector<RequestFingerprint> refused = next.refusedRequests();
     std::ranges::sort(refused);
     for (const RequestFingerprint request : refused) {
-        if (!std::ranges::binary_search(this->refusedBefore, request))
+        if (!std::ranges::binary_search(this->previouslyRefused, request))
             this->hooks.quarantined(request);
     }
-    for (const RequestFingerprint request : this->refusedBefore) {
+    for (const RequestFingerprint request : this->previouslyRefused) {
         if (!std::ranges::binary_search(refused, request))
             this->hooks.released(request);
     }
-    this->refusedBefore = std::move(refused);
+    this->previouslyRefused = std::move(refused);
 }
 
 std::vector<KeptCrash> keptCrashes(const std::vector<Notice> &notices, std::uint64_t now)
@@ -140,16 +146,17 @@
     return crashes;
 }
 
-// A clock that was set back must not lengthen a life.
+// The lifetime is clamped, so that a clock that was set back does not extend it.
 std::vector<Notice> noticesOf(const std::vector<KeptCrash> &crashes, std::uint64_t now)
 {
     std::vector<Notice> notices;
     for (const KeptCrash &crash : crashes) {
-        const std::uint64_t left = crash.expiresAt > now ? crash.expiresAt - now : 0;
-        const std::uint64_t life = std::min<std::uint64_t>(left / millisecondsPerSecond, noticeLife);
-        if (life > 0)
+        const std::uint64_t remaining = crash.expiresAt > now ? crash.expiresAt - now : 0;
+        const std::uint64_t lifetime =
+            std::min<std::uint64_t>(remaining / millisecondsPerSecond, noticeLifetimeSeconds);
+        if (lifetime > 0)
             notices.push_back(noticeOf(crash.request, crash.crash, CrashReportState::Crashed,
-                                       static_cast<std::uint16_t>(life)));
+                                       static_cast<std::uint16_t>(lifetime)));
     }
     return notices;
 }
--- a/Services/Node/Gate/RequestQuarantine.h
+++ b/Services/Node/Gate/RequestQuarantine.h
@@ -1,5 +1,5 @@
-// This node's part in keeping requests away from the upstreams that they crash: it tells the other nodes of
-// crashes beside it, and lets its request threads read what all nodes together know.
+// This node's part of the request quarantine: publishes the crashes of its upstream to the other nodes, and
+// lets its request threads read the quarantine that follows from the notices of all nodes.
 #pragma once
 
 #include "QuarantineHooks.h"
@@ -17,13 +17,15 @@
 
 struct RequestQuarantineHooks
 {
-    std::function<void(const Notice &)> publish; // To all nodes, this one included; from any thread.
-    // The upstream beside this node crashed under these; from any thread, after they were announced.
+    // Sends a notice to all nodes including this one; called from any thread.
+    std::function<void(const Notice &)> publish;
+    // The upstream next to this node crashed while these were running; called from any thread, after they
+    // were published.
     std::function<void(const std::vector<Notice> &)> crashesReported;
     std::function<void(RequestFingerprint)>
-        quarantined; // From now on; on the control thread, like the next one.
+        quarantined; // A request is refused from now on. Called on the control thread, like `released`.
     std::function<void(RequestFingerprint)> released;
-    std::function<std::uint64_t()> random; // Names crashes; from any thread.
+    std::function<std::uint64_t()> random; // Generates crash ids; called from any thread.
 };
 
 class RequestQuarantine
@@ -31,20 +33,20 @@
 public:
     explicit RequestQuarantine(RequestQuarantineHooks hooks);
 
-    // For request threads.
+    // Hooks for the request threads.
     QuarantineHooks requestHooks();
 
-    // All notices that this node holds; on the control thread.
+    // Takes all notices that this node holds. Control thread only.
     void update(Instant now, const std::vector<Notice> &notices);
 
 private:
-    std::optional<Duration> refusedFor(const CallRequest &request) const;
-    void crashed(const std::vector<RequestFingerprint> &requests) const;
-    void answered(const CallRequest &request);
-    void clearAnswered(Instant now, const std::vector<CrashReport> &reports) const;
-    void logChanges(const CrashQuarantine &next);
+    std::optional<Duration> remainingQuarantine(const CallRequest &request) const;
+    void reportCrash(const std::vector<RequestFingerprint> &requests) const;
+    void reportAnswer(const CallRequest &request);
+    void clearRecentlyAnswered(Instant now, const std::vector<CrashReport> &reports) const;
+    void reportChanges(const CrashQuarantine &next);
 
-    // What request threads read. Null until the first notice.
+    // The state that request threads read; null until the first notice.
     struct View
     {
         std::vector<CrashReport> reports;
@@ -53,12 +55,12 @@
 
     const RequestQuarantineHooks hooks;
     RcuPointer<View> view;
-    mutable std::mutex mutex;                      // Guards what follows; held for no longer than a look-up.
-    RecentAnswers recentAnswers;                   // Of this node's upstream.
-    std::vector<RequestFingerprint> refusedBefore; // On the control thread.
+    mutable std::mutex mutex;                          // Guards recentAnswers; held only for single accesses.
+    RecentAnswers recentAnswers;                       // Answers of this node's upstream.
+    std::vector<RequestFingerprint> previouslyRefused; // Control thread only.
 };
 
-// As crashes are kept, and back: with the life that is left of them at `now` (Unix milliseconds).
+// Convert notices to stored crashes and back, with the lifetime that is left at `now` (Unix milliseconds).
 std::vector<KeptCrash> keptCrashes(const std::vector<Notice> &notices, std::uint64_t now);
 std::vector<Notice> noticesOf(const std::vector<KeptCrash> &crashes, std::uint64_t now);
 
--- a/Tests/Node/GateFixture.h
+++ b/Tests/Node/GateFixture.h
@@ -1,4 +1,4 @@
-// A local gate before a fake upstream on loopback, with claims that the test answers by hand.
+// A local gate with a fake upstream on the loopback interface; the test answers claims itself.
 #pragma once
 
 #include <LibDecide/Gate.h>
@@ -58,12 +58,12 @@
                                  });
     }
 
-    // Runs the loop until the condition holds; the bound only ends a test that fails.
+    // Runs the event loop until the condition holds. The time limit only ends a failing test.
     bool runUntil(const std::function<bool()> &condition)
     {
         this->context.restart();
-        const Instant limit = SteadyClock::now() + std::chrono::seconds(20);
-        while (!condition() && SteadyClock::now() < limit)
+        const Instant timeLimit = SteadyClock::now() + std::chrono::seconds(20);
+        while (!condition() && SteadyClock::now() < timeLimit)
             this->context.run_one_for(Milliseconds(50));
         return condition();
     }
@@ -72,7 +72,7 @@
 
     boost::asio::io_context context{1};
     HttpClient client{this->context, HttpClientSettings{}};
-    std::vector<HttpRequest> receivedRequests; // What the upstream was given, in order.
+    std::vector<HttpRequest> receivedRequests; // In order of arrival at the upstream.
     std::vector<std::shared_ptr<HttpExchange>> exchanges;
     HttpServer upstream;
     HistoryRecorder history{"gate", false};
@@ -83,12 +83,12 @@
     RequestObserver observer{this->log, this->metrics, this->spans};
     std::map<std::string, CallResponse> answers;
     std::function<void()> onAnswer;
-    std::vector<ClaimCallback> claims; // Waiting for the test's answer.
+    std::vector<ClaimCallback> claims; // Claims that the test has not answered yet.
     std::vector<std::string> claimedKeys;
     std::vector<std::string> recorded;
     std::vector<std::string> released;
     std::vector<std::string> leftUnknown;
-    std::string quarantinedTarget; // Requests for it are refused.
+    std::string quarantinedTarget; // Requests for this target are refused.
     std::vector<std::vector<RequestFingerprint>> crashes;
     std::vector<std::string> answeredTargets; // Targets of answered requests.
     LocalGate gate;
--- a/Tests/Node/TestLocalGate.cpp
+++ b/Tests/Node/TestLocalGate.cpp
@@ -1,4 +1,4 @@
-// What the gate says of a call, and whether that is true: judged against what the upstream was given.
+// What the gate reports about a call, checked against what the upstream received.
 #include "GateFixture.h"
 
 #include <Support/TableTest.h>
@@ -9,13 +9,13 @@
 
 namespace {
 
-struct ShutRow
+struct UnavailableRow
 {
     UpstreamCondition condition;
     const char *reason;
 };
 
-const ShutRow shutRows[] = {
+const UnavailableRow unavailableRows[] = {
     {UpstreamCondition::Draining, "draining"},
     {UpstreamCondition::NotReady, "not_ready"},
 };
@@ -52,9 +52,9 @@
     cr_assert(fixture.gate.inFlight() == 0);
 }
 
-// The operators allow one waiting call for this service. A second one is refused at once with when to come
-// back.
-Test(localGate, queueIsAsLongAsTheConfigurationSays)
+// The configuration allows one queued call for the service. A second one is refused at once with a retry
+// delay.
+Test(localGate, queueLengthFollowsConfiguration)
 {
     GateFixture fixture;
     fixture.gate.setMaximumQueue(1);
@@ -66,9 +66,9 @@
     cr_assert(!fixture.answered("waits"));
 }
 
-// The node ends while one call runs and one waits. What waits is refused now, so that its caller goes
-// elsewhere; what runs is heard to its end.
-Test(localGate, aNodeThatEndsRefusesWhatWaits)
+// The node shuts down with one running and one queued call. The queued call is refused, so that its caller
+// can go elsewhere; the running call is answered.
+Test(localGate, shutdownRefusesQueuedCalls)
 {
     GateFixture fixture;
     fixture.submit("runs", CallClass::Interactive, "");
@@ -83,9 +83,9 @@
     cr_assert(fixture.answers["runs"].outcome == Outcome::Done && fixture.receivedRequests.size() == 1);
 }
 
-// The upstream leaves or is gone. The caller is told at once that its call did not run and when to come back,
-// and the upstream sees nothing of it.
-TABLE_TEST(localGate, shutGateRefusesAtOnce, shutRows)
+// The upstream is draining or gone. The caller is told at once that its call did not run and when to retry,
+// and the upstream receives nothing.
+TABLE_TEST(localGate, unavailableUpstreamRefusesAtOnce, unavailableRows)
 {
     GateFixture fixture;
     fixture.announce(1, row.condition);
@@ -97,8 +97,8 @@
     cr_assert(fixture.receivedRequests.empty());
 }
 
-// A second reservation with the same key arrives while the first one's fate is known, unknown, or cannot be
-// asked. Whatever the table says, this attempt must not reach the upstream.
+// A second reservation with the same key arrives while the result of the first one is known, unknown or
+// cannot be read. Whatever the table answers, this attempt must not reach the upstream.
 TABLE_TEST(localGate, runsNothingWithoutAClaim, claimRows)
 {
     GateFixture fixture;
@@ -117,10 +117,10 @@
     cr_assert(fixture.released.empty());
 }
 
-// The table answers a claim only after the call's deadline: the holder was paused, or the table slow. The
-// caller has been told "unknown" or has gone; starting now would run a reservation nobody waits for. The
-// claim is released.
-Test(localGate, lateClaimStartsNothing)
+// The table answers a claim only after the deadline of the call, because the process was paused or the table
+// is slow. The caller has been told "unknown" or has gone, and starting the call would run a reservation that
+// nobody waits for. The claim is released.
+Test(localGate, claimGrantedAfterDeadlineStartsNothing)
 {
     GateFixture fixture;
     fixture.submit("late", CallClass::NonIdempotent, "key-1", Milliseconds(500));
@@ -133,8 +133,8 @@
     cr_assert(fixture.receivedRequests.empty());
 }
 
-// The gate decides that a waiting reservation starts, and the process is paused before it does. When it
-// wakes, the deadline has passed and the caller has been told; starting now would run work that nobody waits
+// The process is paused between the decision to start a queued reservation and its start. When it resumes,
+// the deadline has passed and the caller has been told; starting the call would run work that nobody waits
 // for.
 Test(localGate, pausedBetweenDecisionAndStartStartsNothing)
 {
@@ -156,7 +156,7 @@
     cr_assert(fixture.receivedRequests[1].target == "/third");
 }
 
-// A keyed call runs; its answer is recorded before any retry can ask for it.
+// The answer of a call with an idempotency key is recorded before a retry can ask for it.
 Test(localGate, recordsTheAnswerOfAKeyedCall)
 {
     GateFixture fixture;
@@ -169,8 +169,8 @@
     cr_assert(fixture.released.empty());
 }
 
-// The upstream dies under a call. Nobody knows whether the reservation was made, so it is "unknown" and never
-// "not run", and its key stays claimed.
+// The upstream dies while it runs a call. Nobody knows whether the reservation was made, so the outcome is
+// "unknown" and never "not run", and the key stays claimed.
 Test(localGate, brokenConnectionIsUnknown)
 {
     GateFixture fixture;
@@ -185,7 +185,8 @@
     cr_assert(fixture.recorded.empty());
 }
 
-// Nobody listens at the upstream's address. No byte left, so the call did not run, and its key is free again.
+// Nothing listens at the upstream's address. No byte was sent, so the call did not run and its key is
+// released.
 Test(localGate, unreachableUpstreamIsNotRun)
 {
     GateFixture fixture;
@@ -197,8 +198,8 @@
     cr_assert(fixture.released == fixture.claimedKeys);
 }
 
-// The upstream sheds: it answers that it did not run the call. That word is passed on with its time to come
-// back.
+// The upstream sheds the call with an answer that proves that it did not run. The outcome is passed on with
+// its retry delay.
 Test(localGate, sheddingIsNotRun)
 {
     GateFixture fixture;
@@ -213,9 +214,9 @@
     cr_assert(fixture.answers["one"].retryAfterMilliseconds == 2000);
 }
 
-// One slot is taken by a call that never ends. A second one waits; its caller gives up. It must never reach
-// the upstream, also after the slot is free.
-Test(localGate, cancelledWhileWaitingNeverRuns)
+// The only slot is in use, and the caller of a queued call gives up. That call must never reach the upstream,
+// even after the slot is free.
+Test(localGate, callCancelledInQueueNeverRuns)
 {
     GateFixture fixture;
     fixture.submit("first", CallClass::Interactive, "");
@@ -226,7 +227,7 @@
     cr_assert(fixture.answers["second"].outcome == Outcome::NotRun);
     fixture.exchanges[0]->respond(makeResponse(200, "text/plain", ""));
     cr_assert(fixture.runUntil([&] { return fixture.answered("first"); }));
-    // A third call takes the freed slot: had the second one been started, it would stand before it.
+    // A third call takes the freed slot. If the second one had started, it would come first.
     fixture.submit("third", CallClass::Interactive, "");
     cr_assert(fixture.runUntil([&] { return fixture.receivedRequests.size() == 2; }));
     cr_assert(fixture.receivedRequests[1].target == "/third");
@@ -235,9 +236,9 @@
     cr_assert(fixture.gate.inFlight() == 0);
 }
 
-// A drain begins while one call runs and another waits: the running one gets its whole answer, the waiting
-// one is told at once that it did not run.
-Test(localGate, drainFinishesWhatRuns)
+// A drain starts with one running and one queued call. The running one gets its whole answer, and the queued
+// one is refused at once.
+Test(localGate, drainFinishesRunningCalls)
 {
     GateFixture fixture;
     fixture.submit("running", CallClass::NonIdempotent, "");
@@ -253,8 +254,8 @@
     cr_assert(fixture.gate.inFlight() == 0);
 }
 
-// A caller gives up on a running reservation. Cutting it off would leave nobody knowing whether it ran; it
-// goes on and its answer is recorded for the caller's retry.
+// A caller gives up on a running reservation. After cutting it off nobody would know whether it ran, so it
+// goes on and its answer is recorded for a retry.
 Test(localGate, runningReservationIsNotCutOff)
 {
     GateFixture fixture;
@@ -266,10 +267,10 @@
     cr_assert(fixture.runUntil([&] { return !fixture.recorded.empty(); }));
 }
 
-// A visitor's program names its reservation and its refund with the same key. Were the key alone claimed, the
-// refund would be answered with the reservation's outcome and never run: work that is lost without a word.
-// The same request sent again, with whatever query, must meet its own claim.
-Test(localGate, sameKeyForOtherWorkIsAnotherClaim)
+// A client uses the same key for a reservation and its refund. If the key alone was claimed, the refund would
+// be answered with the reservation's result and never run. The same request sent again with another query
+// must meet its own claim.
+Test(localGate, sameKeyForAnotherOperationIsAnotherClaim)
 {
     GateFixture fixture;
     fixture.submit("reserve", CallClass::NonIdempotent, "key-1");
@@ -280,8 +281,8 @@
     cr_assert(fixture.claimedKeys[0] == fixture.claimedKeys[2]);
 }
 
-// A host changes its service while another node's view is old: its calls are for a service that is not here.
-Test(localGate, refusesAnotherServicesCalls)
+// A host was reassigned to another service, and a node with a stale view still sends calls of the former one.
+Test(localGate, refusesCallsOfAnotherService)
 {
     GateFixture fixture;
     fixture.gate.announce({"entry", fixture.upstream.address(), 1, UpstreamCondition::Ready});
@@ -290,9 +291,9 @@
     cr_assert(fixture.receivedRequests.empty());
 }
 
-// An upstream sends an answer twice, the second time where the next answer is expected. Taken for that one,
-// it would show a caller what another asked for. The id that it repeats tells them apart.
-Test(localGate, anAnswerToAnotherCallIsPassedOver)
+// An upstream sends an answer twice, the second time in place of the next answer. If it was accepted, a
+// caller would see the answer to another caller's request. The call id in the answer tells them apart.
+Test(localGate, ignoresAnswerToAnotherCall)
 {
     GateFixture fixture;
     fixture.submit("two", CallClass::Interactive, "", Milliseconds(300));
@@ -304,8 +305,8 @@
     cr_assert(fixture.answers["two"].outcome == Outcome::Unknown, "%s", fixture.answers["two"].body.c_str());
 }
 
-// Another gate's upstream crashed under the request: it must not reach this one's.
-Test(localGate, aQuarantinedRequestIsRefusedAtOnce)
+// The request crashed the upstream of another gate, so it must not reach this one's.
+Test(localGate, quarantinedRequestIsRefusedAtOnce)
 {
     GateFixture fixture;
     fixture.quarantinedTarget = "/crashing";
@@ -319,8 +320,8 @@
     cr_assert(fixture.runUntil([&] { return fixture.receivedRequests.size() == 1; }));
 }
 
-// An upstream that ends while it runs calls: those are reported once it is seen to be gone.
-Test(localGate, whatRanAtACrashIsReported)
+// An upstream exits while it runs calls. They are reported once the upstream is seen to be gone.
+Test(localGate, reportsCallsRunningAtACrash)
 {
     GateFixture fixture;
     fixture.announce(3, UpstreamCondition::Ready);
@@ -338,8 +339,8 @@
     cr_assert(fixture.crashes[0].size() == 2);
 }
 
-// An upstream that ends closes its connections one after the other, and what it listens on among the last.
-Test(localGate, aCrashIsReportedThatTakesAMomentToClose)
+// An exiting upstream closes its connections one after another, and its listening socket among the last.
+Test(localGate, reportsCrashThatClosesConnectionsSlowly)
 {
     GateFixture fixture;
     fixture.submit("one", CallClass::Interactive, "");
@@ -352,8 +353,8 @@
     cr_assert(fixture.runUntil([&] { return fixture.crashes.size() == 1; }));
 }
 
-// Only the connection broke: what ran there must not be held responsible when the upstream ends later.
-Test(localGate, aBrokenConnectionAloneIsNoCrash)
+// Only the connection broke: the call must not be blamed when the upstream exits later.
+Test(localGate, brokenConnectionAloneIsNoCrash)
 {
     GateFixture fixture;
     fixture.submit("one", CallClass::Interactive, "");
@@ -367,8 +368,8 @@
     cr_assert(fixture.crashes.empty());
 }
 
-// A call that may run only once is not cut off when its caller leaves, so a crash under it is seen.
-Test(localGate, aCrashUnderACallWhoseCallerLeftIsReported)
+// A call that may run only once is not cut off when its caller leaves, so a crash under it is noticed.
+Test(localGate, reportsCrashAfterCallerLeft)
 {
     GateFixture fixture;
     const auto call = fixture.submit("one", CallClass::Interactive, "");
@@ -379,9 +380,9 @@
     cr_assert(fixture.runUntil([&] { return fixture.crashes.size() == 1; }));
 }
 
-// A rule denies a call and takes the same one when it is offered. The question must leave no ticket behind:
-// its slot would be lost for good.
-Test(localGate, askingAheadKeepsNoTicket)
+// wouldAdmit() rejects a call that offer() then admits. The early check must not keep the ticket, or its slot
+// would be lost for good.
+Test(localGate, earlyCheckKeepsNoTicket)
 {
     GateFixture fixture;
     AdmissionHooks hooks = makeAdmissionHooks(std::make_shared<Gate>(GateSettings{1, 64, 7}));
@@ -389,20 +390,20 @@
     LocalGate gate("gate", hooks, CallHeaders{}, ClaimHooks{}, QuarantineHooks{}, fixture.history,
                    fixture.observer);
     gate.announce({"booking", fixture.upstream.address(), 1, UpstreamCondition::Ready});
-    const auto ask = [&] {
+    const auto refusedEarly = [&] {
         CallRequest request;
         request.cluster = "booking";
         request.remainingMicroseconds = 30000000;
         return gate.tryRefuseBeforeBody({fixture.context, fixture.client}, request, Duration::zero(),
                                         [](const CallResponse &) {});
     };
-    cr_assert(!ask()); // It would start.
+    cr_assert(!refusedEarly()); // It would start.
     cr_assert(gate.running() == 0);
-    CallAttributes facts;
-    facts.deadline = SteadyClock::now() + std::chrono::seconds(30);
+    CallAttributes attributes;
+    attributes.deadline = SteadyClock::now() + std::chrono::seconds(30);
     std::vector<GateAction> actions;
-    hooks.offer(SteadyClock::now(), facts, actions);
-    cr_assert(!ask()); // It would wait.
+    hooks.offer(SteadyClock::now(), attributes, actions);
+    cr_assert(!refusedEarly()); // It would be queued.
     cr_assert(gate.running() == 1);
     cr_assert(gate.queued() == 0);
 }
--- a/Tests/Node/TestRequestQuarantine.cpp
+++ b/Tests/Node/TestRequestQuarantine.cpp
@@ -1,4 +1,5 @@
-// What nodes tell each other of requests that crash upstreams, and what request threads then refuse.
+// Notices that nodes exchange about requests that crash upstreams, and which requests are refused because of
+// them.
 #include <Node/Gate/RequestFingerprint.h>
 #include <Node/Gate/RequestQuarantine.h>
 
@@ -14,7 +15,7 @@
 
 const Instant start = SteadyClock::now();
 
-// One node whose notices reach itself.
+// A single node that receives its own notices.
 class QuarantineFixture
 {
 public:
@@ -36,14 +37,14 @@
     }
 
     RcuThread thread;
-    Duration passed{}; // Since the first answers.
+    Duration elapsed{}; // Time since `start`.
     std::uint64_t lastCrash = 0;
-    std::vector<Notice> announced; // Not delivered yet.
+    std::vector<Notice> published; // Published notices that are not delivered yet.
     std::map<std::pair<std::uint64_t, std::uint64_t>, Notice> notices;
     std::size_t refused = 0;
     std::size_t released = 0;
     RequestQuarantine quarantine{
-        {[this](const Notice &notice) { this->announced.push_back(notice); },
+        {[this](const Notice &notice) { this->published.push_back(notice); },
          [](const std::vector<Notice> &) {}, [this](RequestFingerprint) { ++this->refused; },
          [this](RequestFingerprint) { ++this->released; }, [this] { return ++this->lastCrash; }}};
     QuarantineHooks hooks = this->quarantine.requestHooks();
@@ -51,15 +52,15 @@
 private:
     void deliver()
     {
-        for (const Notice &notice : this->announced) {
+        for (const Notice &notice : this->published) {
             Notice &held = this->notices.try_emplace({notice.subject, notice.source}, notice).first->second;
             held.state = std::max(held.state, notice.state);
         }
-        this->announced.clear();
+        this->published.clear();
         std::vector<Notice> all;
         for (const auto &[key, notice] : this->notices)
             all.push_back(notice);
-        this->quarantine.update(start + this->passed, all);
+        this->quarantine.update(start + this->elapsed, all);
     }
 };
 
@@ -74,14 +75,14 @@
     return request;
 }
 
-struct SameRow
+struct RequestRow
 {
     const char *what;
     CallRequest again;
     bool refused;
 };
 
-const SameRow sameRows[] = {
+const RequestRow requestRows[] = {
     {"the same", requestOf("/tours/9", "two seats"), true},
     {"another query", requestOf("/tours/9?try=2", "two seats"), true},
     {"another path", requestOf("/tours/8", "two seats"), false},
@@ -91,8 +92,8 @@
 
 } // namespace
 
-// It comes again from the same caller, through any node; other requests must not be refused with it.
-TABLE_TEST(requestQuarantine, refusesTheSameRequestOnly, sameRows)
+// The caller may retry the request through any node; other requests must not be refused with it.
+TABLE_TEST(requestQuarantine, refusesOnlyTheSameRequest, requestRows)
 {
     QuarantineFixture fixture;
     for (std::size_t crash = 0; crash < crashesToQuarantine; ++crash) {
@@ -103,14 +104,14 @@
     cr_assert(fixture.refuses(row.again) == row.refused, "%s", row.what);
 }
 
-// Others that ran beside it at each crash come back, and one of them is answered.
-Test(requestQuarantine, anAnswerEndsTheSuspicion)
+// An answer clears a request that only ran next to the one that crashed the upstream.
+Test(requestQuarantine, answerClearsTheRequest)
 {
     QuarantineFixture fixture;
     fixture.crash(requestOf("/tours/9"));
     fixture.crash(requestOf("/tours/9"));
     fixture.answer(requestOf("/tours/9"));
-    fixture.passed = 2 * recentAnswerWindow;
+    fixture.elapsed = 2 * recentAnswerWindow;
     fixture.crash(requestOf("/tours/9"));
     cr_assert(!fixture.refuses(requestOf("/tours/9")));
     fixture.crash(requestOf("/tours/9"));
@@ -121,8 +122,9 @@
     cr_assert(fixture.refused == 1 && fixture.released == 1);
 }
 
-// What many send runs at every crash; once it is refused everywhere, nothing would clear it.
-Test(requestQuarantine, whatWasJustAnsweredIsNotRefused)
+// A request that many callers send is running at every crash; once it was refused everywhere, no answer could
+// clear it.
+Test(requestQuarantine, recentlyAnsweredRequestIsNotRefused)
 {
     QuarantineFixture fixture;
     fixture.answer(requestOf("/tours"));
@@ -131,8 +133,8 @@
     cr_assert(!fixture.refuses(requestOf("/tours")));
 }
 
-// The path of a search crashes upstreams with one query and serves all others.
-Test(requestQuarantine, aPathThatServesOthersIsRefusedByItsQueryOnly)
+// One query of a search path crashes upstreams, and all other queries are served.
+Test(requestQuarantine, servedPathIsRefusedOnlyForCrashingQuery)
 {
     QuarantineFixture fixture;
     for (std::size_t crash = 0; crash < crashesToQuarantine; ++crash) {
@@ -143,13 +145,13 @@
     cr_assert(!fixture.refuses(requestOf("/search?q=castle")));
 }
 
-// A newer node tells of states that this one does not know, and of nothing else.
-Test(requestQuarantine, unknownStatesAreLeftAlone)
+// A newer node sends states that this node does not know.
+Test(requestQuarantine, unknownStatesAreIgnored)
 {
     QuarantineFixture fixture;
     const RequestFingerprint request = fingerprintsOf(requestOf("/tours/9"))[0];
     for (std::uint64_t crash = 0; crash < crashesToQuarantine; ++crash)
-        fixture.announced.push_back({request, crash, 9, 600});
+        fixture.published.push_back({request, crash, 9, 600});
     fixture.answer(requestOf("/other"));
     cr_assert(!fixture.refuses(requestOf("/tours/9")));
 }
