--- a/Libraries/LibMembership/IntroducerRounds.cpp
+++ b/Libraries/LibMembership/IntroducerSchedule.cpp
@@ -1,5 +1,5 @@
 // Who writes, who reads, and how soon again.
-#include <LibMembership/IntroducerRounds.h>
+#include <LibMembership/IntroducerSchedule.h>
 
 #include <algorithm>
 
--- a/Libraries/LibMembership/Membership.h
+++ b/Libraries/LibMembership/Membership.h
@@ -9,7 +9,7 @@
 
 #include <LibMembership/Dissemination.h>
 #include <LibMembership/MemberTable.h>
-#include <LibMembership/NoticeBoard.h>
+#include <LibMembership/NoticeTable.h>
 #include <LibMembership/TokenBucket.h>
 
 #include <array>
--- a/Libraries/LibMembership/NoticeBoard.cpp
+++ b/Libraries/LibMembership/NoticeTable.cpp
@@ -1,5 +1,5 @@
 // Merging, telling and forgetting notices.
-#include <LibMembership/NoticeBoard.h>
+#include <LibMembership/NoticeTable.h>
 
 #include <algorithm>
 #include <limits>
--- a/Services/Node/Control/ControlIntroducers.h
+++ b/Services/Node/Control/ControlIntroducers.h
@@ -6,7 +6,7 @@
 #pragma once
 
 #include <LibCore/Time.h>
-#include <LibMembership/IntroducerRounds.h>
+#include <LibMembership/IntroducerSchedule.h>
 #include <LibSource/Ports.h>
 
 #include <boost/asio/io_context.hpp>
--- a/Tests/LibMembership/TestMeeting.cpp
+++ b/Tests/LibMembership/TestIntroducerSchedule.cpp
@@ -1,7 +1,7 @@
 // Nodes without seeds meet over rows of a shared table, whatever the order and the faults of their start.
 #include "FakeNetwork.h"
 
-#include <LibMembership/IntroducerRounds.h>
+#include <LibMembership/IntroducerSchedule.h>
 
 #include <Support/TableTest.h>
 
