--- a/Libraries/LibMembership/Datagram.cpp
+++ b/Libraries/LibMembership/Datagram.cpp
@@ -1,5 +1,5 @@
-// Encoding by cereal. Texts and lists carry lengths of one byte: they take less room, and are checked before
-// anything is allocated.
+// Datagram encoding on cereal archives. Texts and lists have one-byte lengths, which are checked before any
+// allocation.
 #include <LibMembership/Datagram.h>
 
 #include <LibWire/Archive.h>
@@ -27,7 +27,7 @@
     std::uint8_t length = 0;
     archive(length);
     if (length > maximumTextBytes)
-        throw cereal::Exception("a text is too long");
+        throw cereal::Exception("text exceeds the length limit");
     text.resize(length);
     archive(cereal::binary_data(text.data(), length));
 }
@@ -44,7 +44,7 @@
     std::uint8_t raw = 0;
     archive(raw);
     if (raw > static_cast<std::uint8_t>(last))
-        throw cereal::Exception("a value is out of range");
+        throw cereal::Exception("enum value is out of range");
     value = static_cast<Enum>(raw);
 }
 
@@ -74,26 +74,26 @@
     return address.substr(0, address.rfind(':'));
 }
 
-// A node's listeners share its IP number, so the later addresses travel as ":port" when they do.
-std::string shortAddress(const std::string &address, const std::string &first)
+// A node's listeners usually share one IP address; the later addresses are then encoded as ":port".
+std::string shortAddress(const std::string &address, const std::string &reference)
 {
-    const std::string_view host = hostOf(first);
-    const bool shared = !address.empty() && !host.empty() && hostOf(address) == host;
-    return shared ? address.substr(host.size()) : address;
+    const std::string_view host = hostOf(reference);
+    const bool sharesHost = !address.empty() && !host.empty() && hostOf(address) == host;
+    return sharesHost ? address.substr(host.size()) : address;
 }
 
-void transferAddress(Writer &archive, const std::string &address, const std::string &first)
+void transferAddress(Writer &archive, const std::string &address, const std::string &reference)
 {
-    transferText(archive, shortAddress(address, first));
+    transferText(archive, shortAddress(address, reference));
 }
 
-void transferAddress(Reader &archive, std::string &address, const std::string &first)
+void transferAddress(Reader &archive, std::string &address, const std::string &reference)
 {
     transferText(archive, address);
     if (!address.empty() && address.front() == ':')
-        address.insert(0, hostOf(first));
+        address.insert(0, hostOf(reference));
     if (address.size() > maximumTextBytes)
-        throw cereal::Exception("an address is too long");
+        throw cereal::Exception("address exceeds the length limit");
 }
 
 template <typename Archive, typename AnyMember>
@@ -121,7 +121,7 @@
         transfer(archive, item);
 }
 
-// Grows by what is really read, so that a false count ends at the end of the datagram.
+// Grows only as items are read, so a false count allocates no more than the datagram holds.
 template <typename Item, typename Transfer>
 void transferList(Reader &archive, std::vector<Item> &items, const Transfer &transfer)
 {
@@ -134,7 +134,7 @@
 template <typename Archive, typename AnyDatagram>
 void transferDatagram(Archive &archive, AnyDatagram &datagram)
 {
-    const auto plain = [](auto &any, auto &value) { any(value); };
+    const auto transferInteger = [](auto &any, auto &value) { any(value); };
     transferEnum(archive, datagram.kind, DatagramKind::SyncRequest);
     archive(datagram.sequence);
     transferText(archive, datagram.sender);
@@ -143,10 +143,10 @@
     archive(datagram.storeEra);
     transferText(archive, datagram.target);
     transferText(archive, datagram.targetAddress);
-    transferList(archive, datagram.bucketHashes, plain);
-    transferList(archive, datagram.buckets, plain);
+    transferList(archive, datagram.bucketHashes, transferInteger);
+    transferList(archive, datagram.buckets, transferInteger);
     transferList(archive, datagram.entries, [](auto &any, auto &entry) { transferEntry(any, entry); });
-    transferList(archive, datagram.wanted, plain);
+    transferList(archive, datagram.wanted, transferInteger);
     transferList(archive, datagram.updates, [](auto &any, auto &update) { transferUpdate(any, update); });
     transferList(archive, datagram.members, [](auto &any, auto &member) { transferMember(any, member); });
     transferList(archive, datagram.notices, [](auto &any, auto &notice) { transferNotice(any, notice); });
@@ -166,7 +166,7 @@
 
 std::size_t encodedSize(const Member &member)
 {
-    // Incarnation, slots and link; the two states.
+    // Incarnation, slots, link bandwidth and the two states.
     constexpr std::size_t fixedBytes = 8 + 4 + 4 + 2;
     constexpr std::size_t texts = 8;
     return fixedBytes + texts + member.id.size() + member.region.size() + member.zone.size()
@@ -179,7 +179,7 @@
 {
     const std::string step = "decode gossip datagram";
     if (bytes.size() > maximumDatagramBytes)
-        return makeError(ErrorKind::TooLarge, step, peer, "the datagram is too large");
+        return makeError(ErrorKind::TooLarge, step, peer, "datagram exceeds the size limit");
     try {
         Reader archive(bytes);
         std::uint8_t version = 0;
@@ -189,9 +189,9 @@
         Datagram datagram;
         transferDatagram(archive, datagram);
         if (archive.remaining() != 0)
-            return makeError(ErrorKind::InvalidInput, step, peer, "bytes are left over");
+            return makeError(ErrorKind::InvalidInput, step, peer, "unexpected trailing bytes");
         if (datagram.sender.empty())
-            return makeError(ErrorKind::InvalidInput, step, peer, "the sender has no name");
+            return makeError(ErrorKind::InvalidInput, step, peer, "sender id is empty");
         return datagram;
     } catch (const cereal::Exception &exception) {
         return makeError(ErrorKind::InvalidInput, step, peer, exception.what());
--- a/Libraries/LibMembership/Dissemination.h
+++ b/Libraries/LibMembership/Dissemination.h
@@ -1,9 +1,9 @@
-// Which changes a node still tells others about, and which of them go into the next datagram.
+// Queue of member changes to gossip, and the choice of those that go into the next datagram.
 //
-// Load: a zone of 260 nodes is lost or comes back at once at 6,500 members. Harm: 260 whole records, told
-// sixteen times each, are 290 KB a node. Limits: changes travel in the short form (24 bytes); with a backlog
-// each is told four times only, since the comparison of tables finds what was missed; and what stops new
-// work at an upstream (a drain, a leave, a death) goes before what adds an upstream.
+// When a zone of 260 nodes fails or returns in a mesh of 6,500, sending 260 full records sixteen times each
+// would cost 290 KB per node. Changes are therefore sent in compact form (24 bytes). Under a backlog each is
+// sent only four times, since anti-entropy sync repairs what was missed. Changes that take an upstream out of
+// service (drain, leave, death) are sent before changes that add one.
 #pragma once
 
 #include <LibMembership/MemberTable.h>
@@ -18,10 +18,10 @@
 {
 public:
     // Commands.
-    void add(std::uint64_t idHash, bool urgent, bool whole);
-    // Fills the datagram up to `room` bytes and counts each chosen change as told once. Returns the bytes
-    // used.
-    std::size_t fill(Datagram &datagram, std::size_t room, const MemberTable &table);
+    void add(std::uint64_t idHash, bool urgent, bool fullRecord);
+    // Adds changes to the datagram, up to `maximumBytes`, and counts one transmission of each. Returns the
+    // bytes used.
+    std::size_t fill(Datagram &datagram, std::size_t maximumBytes, const MemberTable &table);
 
     // Queries.
     std::size_t backlog() const { return this->changes.size(); }
@@ -30,14 +30,14 @@
 private:
     struct Change
     {
-        std::uint32_t told = 0;
+        std::uint32_t transmissions = 0;
         bool urgent = false;
-        bool whole = false; // The receivers probably do not know the member: send its record, not a brief.
+        bool fullRecord = false; // Receivers probably don't know the member: send its record, not an update.
     };
 
-    std::uint32_t tellLimit(const MemberTable &table) const;
+    std::uint32_t transmissionLimit(const MemberTable &table) const;
 
-    std::unordered_map<std::uint64_t, Change> changes; // By hash of the member's id.
+    std::unordered_map<std::uint64_t, Change> changes; // By the hash of the member's id.
 };
 
 } // namespace Sagecrank
--- a/Libraries/LibMembership/IntroducerSchedule.h
+++ b/Libraries/LibMembership/IntroducerSchedule.h
@@ -1,5 +1,6 @@
-// When a node writes and reads the rows over which nodes find each other: a decision without clocks or calls.
-// A few rows a zone stand in one partition, so that one read shows a node its own zone and the others.
+// Decides when a node writes and reads the introducer rows through which nodes without seeds find each other.
+// A state machine without clocks or I/O. The rows of all zones share one partition, so one read returns the
+// introducers of the node's own zone and of the others.
 #pragma once
 
 #include <LibCore/Time.h>
@@ -10,53 +11,54 @@
 
 struct IntroducerTiming
 {
-    // Seeds are given this long to answer before the table is asked. Zero where there are no seeds.
+    // Gives seeds time to answer before the table is read. Zero without seeds.
     Duration initialDelay = Milliseconds(1500);
-    // Between the rounds of a node that knows nobody; doubles up to the longest.
+    // Pause after the first round of an isolated node, one that knows no other member; doubles up to the
+    // maximum.
     Duration isolatedBackoff = Milliseconds(3000);
     Duration maximumIsolatedBackoff = Milliseconds(30000);
 };
 
-// Where a node writes its own row, if it does. Rows of a zone stand in as many places as it may have.
+// Which of the zone's introducer rows a node writes in a round. A zone has introducersPerZone of them.
 enum class IntroducerWrite : std::uint8_t {
     None,
-    RankedRow, // The one of its rank, at once.
-    FreeRow,   // After the read of the round, if one is free.
-    AnyRow,    // The same, and else in place of another row.
+    RankedRow, // The row of its own rank, without waiting for the read.
+    FreeRow,   // A free row, if the read of this round finds one.
+    AnyRow,    // A free row, or else over another node's row.
 };
 
 // What one round does.
 struct IntroducerRound
 {
     bool read = false;
-    bool contactOtherZones = false; // Beside those of its own zone.
+    bool contactOtherZones = false; // In addition to the introducers of its own zone.
     IntroducerWrite write = IntroducerWrite::None;
     Duration pause{}; // Until the next round.
 };
 
 inline constexpr std::uint32_t introducersPerZone = 3;
 
-// How long a settled zone waits from round to round.
+// Pause between rounds once the node has found its peers.
 inline constexpr Duration introducerRenewalInterval = std::chrono::seconds(60);
 
 class IntroducerSchedule
 {
 public:
-    explicit IntroducerSchedule(IntroducerTiming pace)
-        : pace(pace)
-        , backoff(pace.isolatedBackoff)
+    explicit IntroducerSchedule(IntroducerTiming timing)
+        : timing(timing)
+        , backoff(timing.isolatedBackoff)
     {
     }
 
-    // `rank` is the node's place among the members of its zone that it knows; 0 is the first.
+    // `rank` is the node's position among the known members of its zone; 0 is the first.
     IntroducerRound next(bool knowsOthers, std::uint32_t rank);
 
 private:
-    IntroducerWrite writeOf(bool knowsOthers, std::uint32_t rank) const;
+    IntroducerWrite chooseWrite(bool knowsOthers, std::uint32_t rank) const;
 
-    IntroducerTiming pace;
-    Duration backoff; // Of the next round but one, unless the zone has settled.
-    std::uint32_t begun = 0;
+    IntroducerTiming timing;
+    Duration backoff; // Next pause, unless the node has settled.
+    std::uint32_t roundsStarted = 0;
 };
 
 } // namespace Sagecrank
--- a/Libraries/LibMembership/Member.h
+++ b/Libraries/LibMembership/Member.h
@@ -1,4 +1,4 @@
-// One node of the mesh as the others know it, with the upstream that it stands beside.
+// A member of the mesh as other nodes know it: a node and the upstream it serves.
 #pragma once
 
 #include <LibCore/EnumNames.h>
@@ -8,12 +8,12 @@
 
 namespace Sagecrank {
 
-// How the node itself is seen. A later one is stronger at the same incarnation.
+// At the same incarnation, a later state overrides an earlier one.
 enum class MemberState : std::uint8_t {
     Alive,
-    Suspect, // Did not answer probes; may still refute it with a higher incarnation.
+    Suspect, // Did not answer probes; can refute the suspicion with a higher incarnation.
     Dead,
-    Left, // Said goodbye; final for this incarnation.
+    Left, // Left deliberately; final for this incarnation.
 };
 
 inline constexpr EnumNames<MemberState, 4> memberStateNames{{
@@ -23,12 +23,12 @@
     {MemberState::Left, "left"},
 }};
 
-// What the upstream beside the node said of itself last.
+// Last state that the node's upstream announced.
 enum class UpstreamState : std::uint8_t {
     None, // No upstream is announced.
     Warming,
     Ready,
-    Draining, // Finishes what it has; takes nothing new.
+    Draining, // Finishes running requests and accepts no new ones.
     Gone,
 };
 
@@ -40,9 +40,9 @@
     {UpstreamState::Gone, "gone"},
 }};
 
-// Addresses are "ip:port". Only the node itself raises its incarnation; a higher one always wins, and at the
-// same incarnation the stronger state does. The held version is what the node told this one directly: it
-// changes far too often to be spread as a change of the record.
+// Addresses are "ip:port". Only the node itself raises its incarnation. A higher incarnation always wins; at
+// the same incarnation the later state does. The configuration version is what the node reported directly: it
+// changes too often to be gossiped as a change of the record.
 struct Member
 {
     std::string id;
@@ -50,15 +50,15 @@
     MemberState state = MemberState::Alive;
     std::string region;
     std::string zone;
-    std::string site; // Which overlay's configuration it holds; only peers of one site can serve each other.
+    std::string site; // Selects the configuration overlay; nodes pull configurations from peers of one site.
     std::string gossipAddress;  // UDP, membership.
     std::string peerAddress;    // TCP, calls between nodes.
     std::string controlAddress; // TCP, configuration pulls.
-    std::uint32_t linkMbps = 0; // A second, of its host's own link; 0: not told.
-    std::string cluster;        // The service of the upstream beside it; empty when there is none.
+    std::uint32_t linkMbps = 0; // Bandwidth of the host's own link; 0: unknown.
+    std::string cluster;        // Service of the node's upstream; empty without an upstream.
     UpstreamState upstream = UpstreamState::None;
     std::uint32_t slots = 0;
-    std::uint64_t configurationVersion = 0; // The version that the node holds.
+    std::uint64_t configurationVersion = 0; // Version that the node holds.
 
     bool operator==(const Member &) const = default;
 };
--- a/Libraries/LibMembership/MemberTable.cpp
+++ b/Libraries/LibMembership/MemberTable.cpp
@@ -1,4 +1,4 @@
-// Merging, bucket hashes and the peer lists.
+// Merging of records, bucket hashes and peer lists.
 #include <LibMembership/MemberTable.h>
 
 #include <xxhash.h>
@@ -14,17 +14,17 @@
     return idHash % bucketCount;
 }
 
-// A suspicion is left out: it is short-lived and spreads by itself, and two tables that differ only by it
-// should not exchange a bucket.
+// Does not cover suspicion: it is short-lived and gossiped anyway, so two tables that differ only by it
+// need not exchange the bucket.
 std::uint32_t hashForDigest(const MemberRecord &record)
 {
     const std::uint64_t words[] = {record.idHash, record.member.incarnation};
     return static_cast<std::uint32_t>(XXH3_64bits(words, sizeof words));
 }
 
-void appendText(std::string &text, const std::string &part)
+void appendField(std::string &text, const std::string &field)
 {
-    text += part;
+    text += field;
     text.push_back('\0');
 }
 
@@ -38,10 +38,10 @@
 std::uint32_t hashStaticFields(const Member &member)
 {
     std::string text;
-    for (const std::string *part : {&member.region, &member.zone, &member.site, &member.gossipAddress,
-                                    &member.peerAddress, &member.controlAddress, &member.cluster})
-        appendText(text, *part);
-    appendText(text, std::to_string(member.linkMbps));
+    for (const std::string *field : {&member.region, &member.zone, &member.site, &member.gossipAddress,
+                                     &member.peerAddress, &member.controlAddress, &member.cluster})
+        appendField(text, *field);
+    appendField(text, std::to_string(member.linkMbps));
     return static_cast<std::uint32_t>(XXH3_64bits(text.data(), text.size()));
 }
 
@@ -50,9 +50,9 @@
 {
 }
 
-// Load: a heal after a split, when each side tells the other that all of its members are dead. Harm: taking
-// it at its word would empty the view of the whole mesh until each owner had refuted. So a death that comes
-// without the suspicion before it becomes a suspicion here, which the owner has time to refute.
+// When a network partition heals, each side reports all members of the other as dead. Accepting that would
+// empty every view until each member has refuted it, so a death report about a member that is alive here only
+// makes it suspect, which leaves the member time to refute.
 MergeOutcome MemberTable::apply(MemberRecord &record, std::uint64_t incarnation, MemberState state,
                                 Instant now)
 {
@@ -61,12 +61,12 @@
         return MergeOutcome::Ignored;
     if (incarnation == member.incarnation && state <= member.state)
         return MergeOutcome::Ignored;
-    const bool softened = state == MemberState::Dead && member.state == MemberState::Alive;
-    this->reindex(record, false);
+    const bool downgraded = state == MemberState::Dead && member.state == MemberState::Alive;
+    this->updateIndex(record, false);
     member.incarnation = incarnation;
-    this->setState(record, softened ? MemberState::Suspect : state, now);
-    this->reindex(record, true);
-    return softened ? MergeOutcome::DowngradedToSuspect : MergeOutcome::Changed;
+    this->setState(record, downgraded ? MemberState::Suspect : state, now);
+    this->updateIndex(record, true);
+    return downgraded ? MergeOutcome::DowngradedToSuspect : MergeOutcome::Changed;
 }
 
 MergeOutcome MemberTable::merge(const Member &member, Instant now)
@@ -74,7 +74,7 @@
     const std::uint64_t idHash = hashId(member.id);
     const auto found = this->records.find(idHash);
     if (found == this->records.end()) {
-        // A grave of a member that was never known says nothing that anyone here needs.
+        // The tombstone of a member that was never known here is of no use.
         if (!isPresent(member.state))
             return MergeOutcome::Ignored;
         MemberRecord record{member, idHash, hashStaticFields(member), now, {}};
@@ -82,39 +82,39 @@
         record.member.configurationVersion = 0;
         MemberRecord &stored = this->records.emplace(idHash, std::move(record)).first->second;
         this->buckets[bucketOf(idHash)].push_back(idHash);
-        this->reindex(stored, true);
+        this->updateIndex(stored, true);
         this->peersStale = true;
         if (member.state == MemberState::Suspect)
             this->setState(stored, MemberState::Suspect, now);
         return MergeOutcome::Changed;
     }
     MemberRecord &record = found->second;
-    const std::uint64_t before = record.member.incarnation;
+    const std::uint64_t previous = record.member.incarnation;
     const MergeOutcome outcome = this->apply(record, member.incarnation, member.state, now);
-    if (outcome != MergeOutcome::Ignored && member.incarnation > before) {
-        const Member old = record.member;
+    if (outcome != MergeOutcome::Ignored && member.incarnation > previous) {
+        const Member previousMember = record.member;
         record.member = member;
-        record.member.state = old.state;
-        record.member.configurationVersion = old.configurationVersion;
+        record.member.state = previousMember.state;
+        record.member.configurationVersion = previousMember.configurationVersion;
         record.staticFieldsHash = hashStaticFields(member);
         this->peersStale = true;
     }
     return outcome;
 }
 
-MergeOutcome MemberTable::merge(const MemberUpdate &brief, Instant now)
+MergeOutcome MemberTable::merge(const MemberUpdate &update, Instant now)
 {
-    const auto found = this->records.find(brief.idHash);
+    const auto found = this->records.find(update.idHash);
     if (found == this->records.end())
-        return isPresent(brief.state) ? MergeOutcome::Unknown : MergeOutcome::Ignored;
+        return isPresent(update.state) ? MergeOutcome::Unknown : MergeOutcome::Ignored;
     MemberRecord &record = found->second;
-    const std::uint64_t before = record.member.incarnation;
-    if (brief.incarnation > before && brief.staticFieldsHash != record.staticFieldsHash)
+    const std::uint64_t previous = record.member.incarnation;
+    if (update.incarnation > previous && update.staticFieldsHash != record.staticFieldsHash)
         return MergeOutcome::Unknown;
-    const MergeOutcome outcome = this->apply(record, brief.incarnation, brief.state, now);
-    if (outcome != MergeOutcome::Ignored && brief.incarnation > before) {
-        record.member.upstream = brief.upstream;
-        record.member.slots = brief.slots;
+    const MergeOutcome outcome = this->apply(record, update.incarnation, update.state, now);
+    if (outcome != MergeOutcome::Ignored && update.incarnation > previous) {
+        record.member.upstream = update.upstream;
+        record.member.slots = update.slots;
     }
     return outcome;
 }
@@ -128,14 +128,14 @@
         return;
     }
     MemberRecord &record = found->second;
-    this->reindex(record, false);
+    this->updateIndex(record, false);
     const MemberState state = member.state;
     record.member = member;
     record.member.state = MemberState::Alive;
     record.staticFieldsHash = hashStaticFields(member);
     record.stateChangedAt = now;
     this->setState(record, state, now);
-    this->reindex(record, true);
+    this->updateIndex(record, true);
     this->peersStale = true;
 }
 
@@ -155,7 +155,7 @@
 
 std::size_t MemberTable::removeTombstones(Instant changedBefore)
 {
-    std::size_t forgotten = 0;
+    std::size_t removed = 0;
     for (auto entry = this->records.begin(); entry != this->records.end();) {
         const MemberRecord &record = entry->second;
         if (isPresent(record.member.state) || record.stateChangedAt >= changedBefore) {
@@ -165,9 +165,9 @@
         std::erase(this->buckets[bucketOf(record.idHash)], record.idHash);
         entry = this->records.erase(entry);
         this->peersStale = true;
-        ++forgotten;
+        ++removed;
     }
-    return forgotten;
+    return removed;
 }
 
 const MemberRecord *MemberTable::find(std::uint64_t idHash) const
@@ -194,19 +194,19 @@
 const std::vector<std::uint64_t> &MemberTable::zonePeers() const
 {
     this->rebuildPeers();
-    return this->zoneList;
+    return this->zonePeerHashes;
 }
 
 const std::vector<std::uint64_t> &MemberTable::otherZonePeers() const
 {
     this->rebuildPeers();
-    return this->otherList;
+    return this->otherZonePeerHashes;
 }
 
 const std::vector<std::uint64_t> &MemberTable::deadMembers() const
 {
     this->rebuildPeers();
-    return this->deadList;
+    return this->deadMemberHashes;
 }
 
 std::vector<const MemberRecord *> MemberTable::bucket(std::uint8_t index) const
@@ -224,7 +224,7 @@
     return {record.idHash, member.incarnation, record.staticFieldsHash, member.state, member.upstream, slots};
 }
 
-void MemberTable::reindex(const MemberRecord &record, bool adding)
+void MemberTable::updateIndex(const MemberRecord &record, bool adding)
 {
     if (!isPresent(record.member.state))
         return;
@@ -234,16 +234,16 @@
 
 void MemberTable::setState(MemberRecord &record, MemberState state, Instant now)
 {
-    const MemberState before = record.member.state;
-    if (before == state)
+    const MemberState previous = record.member.state;
+    if (previous == state)
         return;
     record.member.state = state;
     record.stateChangedAt = now;
-    if (before == MemberState::Suspect)
+    if (previous == MemberState::Suspect)
         std::erase(this->suspectHashes, record.idHash);
     if (state == MemberState::Suspect)
         this->suspectHashes.push_back(record.idHash);
-    if (isPresent(before) != isPresent(state) || !isPresent(state))
+    if (isPresent(previous) != isPresent(state) || !isPresent(state))
         this->peersStale = true;
 }
 
@@ -252,16 +252,17 @@
     if (!this->peersStale)
         return;
     this->peersStale = false;
-    this->zoneList.clear();
-    this->otherList.clear();
-    this->deadList.clear();
+    this->zonePeerHashes.clear();
+    this->otherZonePeerHashes.clear();
+    this->deadMemberHashes.clear();
     for (const auto &[idHash, record] : this->records) {
         if (idHash == this->ownHash)
             continue;
         if (record.member.state == MemberState::Dead)
-            this->deadList.push_back(idHash);
+            this->deadMemberHashes.push_back(idHash);
         else if (isPresent(record.member.state))
-            (record.member.zone == this->zone ? this->zoneList : this->otherList).push_back(idHash);
+            (record.member.zone == this->zone ? this->zonePeerHashes : this->otherZonePeerHashes)
+                .push_back(idHash);
     }
 }
 
--- a/Libraries/LibMembership/MemberTable.h
+++ b/Libraries/LibMembership/MemberTable.h
@@ -1,5 +1,5 @@
-// The records of all known members, the rule by which two records of one member are merged, and the hashes
-// by which two tables are compared. Knows nothing of datagrams or timers.
+// The records of all known members, the merge rule for two records of one member, and the bucket hashes by
+// which two tables are compared. Has no dependency on datagram exchange or timers.
 #pragma once
 
 #include <LibCore/Time.h>
@@ -15,9 +15,12 @@
 namespace Sagecrank {
 
 std::uint64_t hashId(std::string_view id);
+
+// Of region, zone, site, addresses, link bandwidth and cluster: the fields that a MemberUpdate does not
+// carry.
 std::uint32_t hashStaticFields(const Member &member);
 
-// Present: counted as a part of the mesh. A suspect still is, for it may refute.
+// A suspect still counts as part of the mesh, because it may refute the suspicion.
 inline bool isPresent(MemberState state)
 {
     return state == MemberState::Alive || state == MemberState::Suspect;
@@ -28,19 +31,19 @@
     Member member;
     std::uint64_t idHash = 0;
     std::uint32_t staticFieldsHash = 0;
-    Instant stateChangedAt{};  // When the state last changed here.
-    Instant suspectDeadline{}; // Only of use while suspect.
+    Instant stateChangedAt{};  // Local time of the last state change.
+    Instant suspectDeadline{}; // Valid only while the member is suspect.
 };
 
 enum class MergeOutcome : std::uint8_t {
-    Ignored,             // Older than what is held, or equal to it.
-    Changed,             // Taken over.
-    Unknown,             // A brief about a member that is not known, or whose fixed facts differ.
-    DowngradedToSuspect, // A claim of death about a member held alive; taken as a suspicion.
+    Ignored,             // Not newer than the stored record.
+    Changed,             // Stored.
+    Unknown,             // An update about an unknown member, or one whose static fields differ.
+    DowngradedToSuspect, // A death report about a member that is alive here; stored as a suspicion.
 };
 
-// 192 hashes (768 bytes) fit one datagram, and so do a bucket's entries (about 34 at 6,500 members, 578
-// bytes).
+// The 192 hashes (768 bytes) fit one datagram, and so do the entries of one bucket: about 34 entries, 578
+// bytes, at 6,500 members.
 inline constexpr std::size_t bucketCount = 192;
 using BucketHashes = std::array<std::uint32_t, bucketCount>;
 
@@ -51,10 +54,11 @@
 
     // Commands.
     MergeOutcome merge(const Member &member, Instant now);
-    MergeOutcome merge(const MemberUpdate &brief, Instant now);
+    MergeOutcome merge(const MemberUpdate &update, Instant now);
     void replaceOwn(const Member &member, Instant now);
     void setHeldVersion(std::uint64_t idHash, std::uint64_t version);
     void setSuspectDeadline(std::uint64_t idHash, Instant deadline);
+    // Removes dead and departed members whose state changed before the given time. Returns how many.
     std::size_t removeTombstones(Instant changedBefore);
 
     // Queries.
@@ -66,7 +70,7 @@
     std::vector<std::uint64_t> suspects() const { return this->suspectHashes; }
     void forEach(const std::function<void(const MemberRecord &)> &visit) const;
 
-    // Present members by distance, without the node itself.
+    // Id hashes of the present members of the own zone and of other zones; excludes the node itself.
     const std::vector<std::uint64_t> &zonePeers() const;
     const std::vector<std::uint64_t> &otherZonePeers() const;
     const std::vector<std::uint64_t> &deadMembers() const;
@@ -78,23 +82,23 @@
 
 private:
     MergeOutcome apply(MemberRecord &record, std::uint64_t incarnation, MemberState state, Instant now);
-    void reindex(const MemberRecord &record, bool adding);
+    void updateIndex(const MemberRecord &record, bool adding);
     void setState(MemberRecord &record, MemberState state, Instant now);
     void rebuildPeers() const;
 
     std::string zone;
     std::uint64_t ownHash = 0;
     std::unordered_map<std::uint64_t, MemberRecord> records;
-    std::array<std::vector<std::uint64_t>, bucketCount> buckets; // Every record stands in exactly one.
-    BucketHashes hashes{}; // Xor over the present members of a bucket, so one change costs one step.
+    std::array<std::vector<std::uint64_t>, bucketCount> buckets; // Each record is in exactly one bucket.
+    BucketHashes hashes{}; // XOR over a bucket's present members, so an update costs O(1).
     std::vector<std::uint64_t> suspectHashes;
     std::size_t present = 0;
 
-    // Rebuilt on demand after a change of who is present.
+    // Rebuilt on demand after the set of present members changes.
     mutable bool peersStale = true;
-    mutable std::vector<std::uint64_t> zoneList;
-    mutable std::vector<std::uint64_t> otherList;
-    mutable std::vector<std::uint64_t> deadList;
+    mutable std::vector<std::uint64_t> zonePeerHashes;
+    mutable std::vector<std::uint64_t> otherZonePeerHashes;
+    mutable std::vector<std::uint64_t> deadMemberHashes;
 };
 
 } // namespace Sagecrank
--- a/Libraries/LibMembership/Membership.cpp
+++ b/Libraries/LibMembership/Membership.cpp
@@ -1,4 +1,4 @@
-// Commands, receiving and sending.
+// Commands, receiving and sending of Membership.
 #include <LibMembership/Membership.h>
 
 #include <algorithm>
@@ -8,24 +8,25 @@
 
 namespace {
 
-constexpr std::uint32_t goodbyes = 5;     // Rounds of gossip after a leave; each goes to the whole fan-out.
-constexpr std::size_t maximumSeeds = 128; // Three introducers of each of 25 zones, and what settings list.
-constexpr Duration firstJoinBackoff = Milliseconds(500);
-// The hosts of a zone get their power back within a tenth of a second or two of each other, so the first
-// greetings often find nobody yet.
-constexpr Duration firstGreetingBackoff = Milliseconds(50);
-// About fifteen seconds without an answer from any seed: this node is the only one, and waiting for others
-// would keep it from serving for good.
-constexpr std::uint32_t joinAttemptsAlone = 5;
-constexpr Duration requestAgainAfter = Milliseconds(1000);
-// Some 2 KB of records, which each node tells on within two seconds of its 6 KB a second.
-constexpr std::size_t smallMesh = 16;
-// The owner of news knows it first; until its zone has heard, nobody else carries it to other zones.
-constexpr std::uint32_t roundsForOwnNews = 3;
-// Of a head or a notice, as many datagrams as carry a change of a member: the comparison of tables does the
-// rest.
-constexpr std::uint32_t newsTellFactor = 4;
-constexpr std::uint32_t leastNewsTells = 8;
+constexpr std::uint32_t leaveGossipRounds = 5; // Each goes to the whole fan-out.
+// Room for three introducers in each of 25 zones and the seeds in the settings.
+constexpr std::size_t maximumSeeds = 128;
+constexpr Duration initialJoinBackoff = Milliseconds(500);
+// The hosts of a zone regain power within one or two tenths of a second of each other, so the first contacts
+// often find nobody listening yet.
+constexpr Duration initialSeedBackoff = Milliseconds(50);
+// About 15 s without an answer from any seed: the node takes itself to be alone, since waiting on would keep
+// it from serving for good.
+constexpr std::uint32_t joinAttemptsUntilAlone = 5;
+constexpr Duration recordRequestInterval = Milliseconds(1000);
+// About 2 KB of records, which a node can gossip within two seconds at 6 KB per second.
+constexpr std::size_t smallMeshMembers = 16;
+// A node is the first to know of its own change; until its zone has heard of it, no other node can send it to
+// other zones.
+constexpr std::uint32_t crossZoneRoundsForOwnChange = 3;
+// Heads and notices are sent as often as member changes; anti-entropy sync delivers the rest.
+constexpr std::uint32_t transmissionFactor = 4;
+constexpr std::uint32_t minimumTransmissions = 8;
 
 } // namespace
 
@@ -53,31 +54,31 @@
     , random(seed)
     , table(this->own.zone)
     , budget(this->settings.bytesPerSecond, this->settings.burstBytes, this->settings.initialBurstBytes)
-    , acrossBudget(this->settings.crossZoneBytesPerSecond, this->settings.crossZoneBurstBytes)
-    , inbound(this->settings.catchUpBytesPerSecond, this->settings.burstBytes,
-              this->settings.initialBurstBytes)
-    , joinBackoff(firstJoinBackoff)
+    , crossZoneBudget(this->settings.crossZoneBytesPerSecond, this->settings.crossZoneBurstBytes)
+    , inboundBudget(this->settings.catchUpBytesPerSecond, this->settings.burstBytes,
+                    this->settings.initialBurstBytes)
+    , joinBackoff(initialJoinBackoff)
 {
     this->own.state = MemberState::Alive;
     this->table.replaceOwn(this->own, Instant{});
-    for (const std::string &seed : this->settings.seeds)
-        this->greetings[seed] = Greeting{Instant{}, firstGreetingBackoff};
+    for (const std::string &address : this->settings.seeds)
+        this->seedContacts[address] = SeedContact{Instant{}, initialSeedBackoff};
 }
 
 void Membership::tick(Instant now)
 {
     this->budget.refill(now);
-    this->acrossBudget.refill(now);
-    this->inbound.refill(now);
+    this->crossZoneBudget.refill(now);
+    this->inboundBudget.refill(now);
     if (this->lastTick != Instant{} && now - this->lastTick > this->settings.pauseThreshold)
-        this->wake(now);
+        this->resumeAfterPause(now);
     this->lastTick = now;
     this->checkProbes(now);
     this->checkSuspects(now);
     if (!this->leaving && now >= this->nextJoin)
         this->join(now);
     if (!this->leaving)
-        this->greetStrangers(now);
+        this->contactUnknownSeeds(now);
     if (now >= this->nextGossip) {
         this->nextGossip = now + this->settings.gossipInterval;
         this->gossip(now);
@@ -86,43 +87,44 @@
         this->nextProbe = now + this->jittered(this->settings.probeInterval);
         this->probeNext(now);
     }
-    if (!this->leaving && now >= this->nextSync && !this->mustAwaitInbound(now)) {
-        // A lost answer while there is much to learn must not cost a whole interval.
+    if (!this->leaving && now >= this->nextSync && !this->isInboundOverBudget(now)) {
+        // Losing an answer while catching up must not delay the next sync by a full interval.
         const bool behind = this->catchUpRounds > 0;
         this->catchUpRounds -= behind ? 1 : 0;
-        this->nextSync = now + this->jittered(behind ? this->paceOfCatchUp() : this->settings.syncInterval);
+        this->nextSync = now + this->jittered(behind ? this->catchUpPace() : this->settings.syncInterval);
         this->startSync(now);
     }
     if (!this->leaving && now >= this->nextReconnect) {
         this->nextReconnect = now + this->jittered(this->settings.reconnectInterval);
         this->reconnect(now);
     }
-    if (this->board.expire(now))
-        this->noticesChanged();
-    if (now >= this->nextForget) {
-        this->nextForget = now + std::chrono::minutes(1);
+    if (this->noticeTable.expire(now))
+        this->notifyNoticesChanged();
+    if (now >= this->nextTombstoneRemoval) {
+        this->nextTombstoneRemoval = now + std::chrono::minutes(1);
         this->counts.removedTombstones +=
             this->table.removeTombstones(now - this->settings.tombstoneRetention);
-        std::erase_if(this->requested,
-                      [&](const auto &entry) { return now - entry.second > requestAgainAfter; });
+        std::erase_if(this->requestedAt,
+                      [&](const auto &entry) { return now - entry.second > recordRequestInterval; });
     }
 }
 
-// Where the whole table fits two datagrams, rounds may follow each other faster: two groups of a small mesh
-// that have just met are one sooner, and each round costs a node 900 bytes.
-Duration Membership::paceOfCatchUp() const
+// A small mesh syncs faster, since its whole table fits two datagrams: two groups that found each other merge
+// sooner, and a round costs a node only 900 bytes.
+Duration Membership::catchUpPace() const
 {
-    const bool small = this->table.presentCount() <= smallMesh;
+    const bool small = this->table.presentCount() <= smallMeshMembers;
     return small ? this->settings.catchUpInterval : this->settings.catchUpInterval * 2;
 }
 
-// Load: a zone returns, and each of its nodes learns thousands of records from several peers at once. Harm:
-// the bytes that arrive pass the node's 13 KB a second for a minute. The wait ends at the ordinary interval,
-// so that a flood of datagrams cannot keep a node from comparing at all.
-bool Membership::mustAwaitInbound(Instant now) const
+// When a zone returns, each of its nodes receives thousands of records from several peers at once, which
+// without this limit exceeds 13 KB per second for a minute. The delay is at most one regular sync interval,
+// so a flood of datagrams cannot keep a node from syncing.
+bool Membership::isInboundOverBudget(Instant now) const
 {
     const bool behind = this->catchUpRounds > 0;
-    return behind && this->inbound.available() <= 0 && now < this->nextSync + this->settings.syncInterval;
+    return behind && this->inboundBudget.available() <= 0
+           && now < this->nextSync + this->settings.syncInterval;
 }
 
 void Membership::receive(Instant now, const std::string &from, std::string_view bytes)
@@ -136,7 +138,7 @@
     KindCounters &kind = this->counts.kinds[static_cast<std::size_t>(datagram.kind)];
     ++kind.received;
     kind.receivedBytes += bytes.size() + datagramOverheadBytes;
-    this->inbound.take(bytes.size() + datagramOverheadBytes);
+    this->inboundBudget.take(bytes.size() + datagramOverheadBytes);
     if (datagram.sender == this->own.id)
         return;
     this->budget.refill(now);
@@ -145,9 +147,9 @@
 
 void Membership::handle(Instant now, const std::string &from, const Datagram &datagram)
 {
-    this->heardAnyone = true;
-    this->takeChanges(now, from, datagram);
-    this->takeNotices(now, datagram.notices);
+    this->heardFromPeer = true;
+    this->applyChanges(now, from, datagram);
+    this->mergeNotices(now, datagram.notices);
     this->noteSender(now, from, datagram);
     switch (datagram.kind) {
     case DatagramKind::Ping:
@@ -183,71 +185,71 @@
     const std::uint64_t senderHash = hashId(datagram.sender);
     const MemberRecord *record = this->table.find(senderHash);
     if (record == nullptr || record->member.incarnation < datagram.senderIncarnation) {
-        this->request(now, from, {senderHash});
+        this->requestRecords(now, from, {senderHash});
         return;
     }
-    const std::uint64_t heldBefore = record->member.configurationVersion;
+    const std::uint64_t previousVersion = record->member.configurationVersion;
     this->table.setHeldVersion(senderHash, datagram.heldVersion);
-    if (datagram.heldVersion > heldBefore && this->hooks.heldVersionAdvanced)
+    if (datagram.heldVersion > previousVersion && this->hooks.heldVersionAdvanced)
         this->hooks.heldVersionAdvanced(record->member);
-    // It speaks, but it is held for suspect or dead here: tell it so, for only it can refute that.
-    const bool wronged =
+    // The sender is alive but recorded as suspect or dead: tell it, since only it can refute that.
+    const bool needsRefutation =
         record->member.state == MemberState::Suspect || record->member.state == MemberState::Dead;
-    if (wronged && datagram.kind != DatagramKind::Ping) {
-        Datagram notice = this->makeDatagram(DatagramKind::Gossip);
-        notice.updates.push_back(MemberTable::makeUpdate(*record));
-        this->transmit(from, notice);
+    if (needsRefutation && datagram.kind != DatagramKind::Ping) {
+        Datagram reply = this->makeDatagram(DatagramKind::Gossip);
+        reply.updates.push_back(MemberTable::makeUpdate(*record));
+        this->transmit(from, reply);
     }
 }
 
-void Membership::takeChanges(Instant now, const std::string &from, const Datagram &datagram)
+void Membership::applyChanges(Instant now, const std::string &from, const Datagram &datagram)
 {
-    // What came by comparison is old news to a large mesh. Telling it on would cost a node that has just
-    // joined its whole budget for minutes; whoever else missed it finds it by comparison too. In a small one
-    // it may be a group that nobody here knew, and telling it on costs little.
-    const bool answersSync = datagram.kind == DatagramKind::Gossip && datagram.sequence != 0;
-    const bool isOldNews = answersSync && this->table.presentCount() > smallMesh;
+    // Records received by sync are already known to most of a large mesh. Gossiping them would take the whole
+    // budget of a node that has just joined for minutes, and other nodes get them by sync as well. In a small
+    // mesh they may come from a group unknown to its members, and gossiping them is cheap.
+    const bool isSyncAnswer = datagram.kind == DatagramKind::Gossip && datagram.sequence != 0;
+    const bool isWidelyKnown = isSyncAnswer && this->table.presentCount() > smallMeshMembers;
     for (const Member &member : datagram.members) {
         const std::uint64_t idHash = hashId(member.id);
-        if (this->concernsOwn(now, idHash, member.incarnation, member.state))
+        if (this->refuteIfOwn(now, idHash, member.incarnation, member.state))
             continue;
-        const MemberRecord *before = this->table.find(idHash);
-        const bool whole = before == nullptr || before->staticFieldsHash != hashStaticFields(member);
+        const MemberRecord *previous = this->table.find(idHash);
+        const bool fullRecord = previous == nullptr || previous->staticFieldsHash != hashStaticFields(member);
         const MergeOutcome outcome = this->table.merge(member, now);
         this->afterMerge(now, idHash, outcome);
-        if (!isOldNews)
-            this->spread(idHash, outcome, whole);
+        if (!isWidelyKnown)
+            this->queueChange(idHash, outcome, fullRecord);
     }
     std::vector<std::uint64_t> unknown;
-    for (const MemberUpdate &brief : datagram.updates) {
-        if (this->concernsOwn(now, brief.idHash, brief.incarnation, brief.state))
+    for (const MemberUpdate &update : datagram.updates) {
+        if (this->refuteIfOwn(now, update.idHash, update.incarnation, update.state))
             continue;
-        const MergeOutcome outcome = this->table.merge(brief, now);
+        const MergeOutcome outcome = this->table.merge(update, now);
         if (outcome == MergeOutcome::Unknown)
-            unknown.push_back(brief.idHash);
-        this->afterMerge(now, brief.idHash, outcome);
-        this->spread(brief.idHash, outcome, false);
+            unknown.push_back(update.idHash);
+        this->afterMerge(now, update.idHash, outcome);
+        this->queueChange(update.idHash, outcome, false);
     }
-    this->request(now, from, unknown);
-    if (answersSync && !datagram.members.empty())
+    this->requestRecords(now, from, unknown);
+    if (isSyncAnswer && !datagram.members.empty())
         this->catchUp(now);
 }
 
-// Load: a false suspicion, a pause, a split, or a restart whose clock was set back. Harm: the mesh would go
-// on believing an older word about this node than its own. Only the owner raises its incarnation, so one
-// step above whatever is claimed ends the matter everywhere.
-bool Membership::concernsOwn(Instant now, std::uint64_t idHash, std::uint64_t incarnation, MemberState state)
+// A false suspicion, a pause, a partition, or a restart after the clock was set back leaves the mesh with a
+// record of this node that overrides its own. Since only the node itself raises its incarnation, going one
+// above the reported incarnation overrides that record everywhere.
+bool Membership::refuteIfOwn(Instant now, std::uint64_t idHash, std::uint64_t incarnation, MemberState state)
 {
     if (idHash != this->ownHash)
         return false;
-    const bool outlived = incarnation > this->own.incarnation;
-    const bool accused = incarnation == this->own.incarnation && state != MemberState::Alive;
-    if (this->leaving || (!outlived && !accused))
+    const bool isNewer = incarnation > this->own.incarnation;
+    const bool isContradiction = incarnation == this->own.incarnation && state != MemberState::Alive;
+    if (this->leaving || (!isNewer && !isContradiction))
         return true;
     this->own.incarnation = incarnation + 1;
     ++this->counts.refutations;
     if (state == MemberState::Suspect)
-        this->raiseHealth(1);
+        this->raiseHealthScore(1);
     this->publishOwn(now, true, false);
     return true;
 }
@@ -259,89 +261,90 @@
     const Member &member = this->table.find(idHash)->member;
     if (member.state == MemberState::Suspect) {
         this->table.setSuspectDeadline(idHash, now + this->suspicionTime());
-        this->noteTroubledZone(member);
+        this->detectFailingZone(member);
     }
     if (this->hooks.memberChanged)
         this->hooks.memberChanged(member);
 }
 
-void Membership::spread(std::uint64_t idHash, MergeOutcome outcome, bool whole)
+void Membership::queueChange(std::uint64_t idHash, MergeOutcome outcome, bool fullRecord)
 {
     if (outcome == MergeOutcome::Ignored || outcome == MergeOutcome::Unknown)
         return;
     const Member &member = this->table.find(idHash)->member;
-    const bool stopsWork = !isPresent(member.state) || member.upstream == UpstreamState::Draining
-                           || member.upstream == UpstreamState::Gone;
-    this->changes.add(idHash, stopsWork, whole);
+    const bool urgent = !isPresent(member.state) || member.upstream == UpstreamState::Draining
+                        || member.upstream == UpstreamState::Gone;
+    this->changes.add(idHash, urgent, fullRecord);
 }
 
 void Membership::noteHead(const ConfigurationVersion &head)
 {
-    if (head.version <= this->headMark.version)
+    if (head.version <= this->highestHead.version)
         return;
-    this->headMark = head;
-    this->tellHead();
+    this->highestHead = head;
+    this->scheduleHeadGossip();
     if (this->hooks.headAdvanced)
         this->hooks.headAdvanced(head);
 }
 
-// Failure: the store comes back from an older copy. Symptom: only the few that ask it often learn of that,
-// and what the others had written stays lost until each of them happens to ask.
+// When the store is restored from an older copy, only nodes that poll it often notice. Without gossip, rows
+// that other nodes had written would stay lost until each of them accessed the store again.
 void Membership::noteStoreEra(std::uint64_t era)
 {
     if (era <= this->storeEra)
         return;
-    // The first is no news: at a start each node asks the store, and what it sends anyway carries the era.
-    this->eraRose = this->storeEra != 0;
+    // The first known era is not gossiped on its own: each node reads it from the store at its start, and
+    // every datagram carries it anyway.
+    this->storeEraChanged = this->storeEra != 0;
     this->storeEra = era;
-    if (this->eraRose)
-        this->tellHead();
+    if (this->storeEraChanged)
+        this->scheduleHeadGossip();
     if (this->hooks.storeEraAdvanced)
         this->hooks.storeEraAdvanced(era);
 }
 
-// Load: a version goes through a zone of 100 by some rounds of gossip and of pulls. Harm: when each waits for
-// the next regular round, a tenth of a second a step adds up to a second and a half.
-void Membership::tellHead()
+// A version reaches a zone of 100 nodes through several rounds of gossip and pulls. Waiting for the next
+// regular gossip round adds a tenth of a second per step, a second and a half in all.
+void Membership::scheduleHeadGossip()
 {
-    this->headTold = 0;
+    this->headTransmissions = 0;
     this->nextGossip = Instant{};
 }
 
 void Membership::announce(Instant now, const Notice &notice)
 {
-    this->takeNotices(now, {notice});
+    this->mergeNotices(now, {notice});
 }
 
-void Membership::takeNotices(Instant now, const std::vector<Notice> &notices)
+void Membership::mergeNotices(Instant now, const std::vector<Notice> &notices)
 {
-    bool anyNews = false;
+    bool anyNew = false;
     for (const Notice &notice : notices)
-        anyNews = this->board.merge(now, notice) || anyNews;
-    if (!anyNews)
+        anyNew = this->noticeTable.merge(now, notice) || anyNew;
+    if (!anyNew)
         return;
     this->nextGossip = Instant{};
-    this->noticesChanged();
+    this->notifyNoticesChanged();
 }
 
-void Membership::noticesChanged()
+void Membership::notifyNoticesChanged()
 {
     if (this->hooks.noticesChanged)
         this->hooks.noticesChanged(this->notices());
 }
 
-std::uint32_t Membership::newsTellLimit() const
+std::uint32_t Membership::transmissionLimit() const
 {
     const double members = static_cast<double>(this->table.presentCount()) + 1;
     const auto rounds = static_cast<std::uint32_t>(std::ceil(std::log10(members)));
-    return std::max(leastNewsTells, newsTellFactor * rounds);
+    return std::max(minimumTransmissions, transmissionFactor * rounds);
 }
 
-void Membership::publishOwn(Instant now, bool urgent, bool whole)
+void Membership::publishOwn(Instant now, bool urgent, bool fullRecord)
 {
     this->table.replaceOwn(this->own, now);
-    this->changes.add(this->ownHash, urgent, whole);
-    this->ownNewsRounds = roundsForOwnNews;
+    this->changes.add(this->ownHash, urgent, fullRecord);
+    this->ownChangeRounds = crossZoneRoundsForOwnChange;
     this->nextGossip = std::min(this->nextGossip, now);
     if (this->hooks.memberChanged)
         this->hooks.memberChanged(this->own);
@@ -353,20 +356,20 @@
     const bool same = this->own.cluster == cluster && this->own.upstream == state && this->own.slots == slots;
     if (same || this->leaving)
         return;
-    const bool whole = this->own.cluster != cluster;
+    const bool fullRecord = this->own.cluster != cluster;
     this->own.cluster = cluster;
     this->own.upstream = state;
     this->own.slots = slots;
     ++this->own.incarnation;
     const bool urgent = state == UpstreamState::Draining || state == UpstreamState::Gone;
-    this->publishOwn(now, urgent, whole);
+    this->publishOwn(now, urgent, fullRecord);
 }
 
 void Membership::setConfiguration(std::uint64_t held, const ConfigurationVersion &head)
 {
     if (held > this->heldVersion) {
         this->heldVersion = held;
-        this->tellHead();
+        this->scheduleHeadGossip();
         this->own.configurationVersion = held;
         this->table.setHeldVersion(this->ownHash, held);
     }
@@ -378,14 +381,14 @@
     if (ownZone)
         this->zoneSeeds = addresses;
     for (const std::string &address : addresses) {
-        const bool known = this->greetings.contains(address);
+        const bool known = this->seedContacts.contains(address);
         if (known || address == this->own.gossipAddress || this->settings.seeds.size() >= maximumSeeds)
             continue;
         this->settings.seeds.push_back(address);
-        this->greetings[address] = Greeting{now, firstGreetingBackoff};
+        this->seedContacts[address] = SeedContact{now, initialSeedBackoff};
     }
     if (!this->leaving)
-        this->greetStrangers(now);
+        this->contactUnknownSeeds(now);
 }
 
 void Membership::leave(Instant now)
@@ -393,26 +396,27 @@
     if (this->leaving)
         return;
     this->leaving = true;
-    this->goodbyeRounds = goodbyes;
+    this->leaveRounds = leaveGossipRounds;
     this->own.state = MemberState::Left;
     this->publishOwn(now, true, false);
 }
 
 bool Membership::hasView() const
 {
-    return this->heardAnyone || this->settings.seeds.empty() || this->joinAttempts >= joinAttemptsAlone;
+    return this->heardFromPeer || this->settings.seeds.empty()
+           || this->joinAttempts >= joinAttemptsUntilAlone;
 }
 
-// The allowance for a first view is spent within the zone; bytes to other zones keep to their own budget.
-bool Membership::maySpend(double share, bool ownZone) const
+// The initial burst is for the own zone only; traffic to other zones stays within its own budget.
+bool Membership::hasBudget(double reservedShare, bool ownZone) const
 {
-    const auto allows = [share](const TokenBucket &bucket) {
-        return bucket.available() > bucket.capacity() * share;
+    const auto allows = [reservedShare](const TokenBucket &bucket) {
+        return bucket.available() > bucket.capacity() * reservedShare;
     };
-    return allows(this->budget) && (ownZone || allows(this->acrossBudget));
+    return allows(this->budget) && (ownZone || allows(this->crossZoneBudget));
 }
 
-bool Membership::isOfOwnZone(const MemberRecord *record) const
+bool Membership::isInOwnZone(const MemberRecord *record) const
 {
     return record != nullptr && record->member.zone == this->own.zone;
 }
@@ -425,24 +429,25 @@
     datagram.sender = this->own.id;
     datagram.senderIncarnation = this->own.incarnation;
     datagram.heldVersion = this->heldVersion;
-    datagram.head = this->headMark;
+    datagram.head = this->highestHead;
     datagram.storeEra = this->storeEra;
     return datagram;
 }
 
 void Membership::sendWithChanges(const std::string &address, bool ownZone, Datagram datagram)
 {
-    constexpr std::size_t headRoom = 200; // More than an empty datagram with the longest names it may carry.
-    constexpr std::size_t smallest = 200;
-    const double funds = this->budget.available();
-    const double spendable = std::max(0.0, ownZone ? funds : std::min(funds, this->acrossBudget.available()));
-    const std::size_t room =
-        std::min<std::size_t>(maximumDatagramBytes - headRoom, static_cast<std::size_t>(spendable));
-    if (room >= smallest) {
-        this->board.fill(this->lastTick, datagram, room / 2, this->newsTellLimit());
-        const std::size_t left = room - datagram.notices.size() * encodedNoticeSize;
+    constexpr std::size_t headerBytes = 200; // More than an empty datagram with the longest possible texts.
+    constexpr std::size_t minimumBytes = 200;
+    const double available = this->budget.available();
+    const double spendable =
+        std::max(0.0, ownZone ? available : std::min(available, this->crossZoneBudget.available()));
+    const std::size_t availableBytes =
+        std::min<std::size_t>(maximumDatagramBytes - headerBytes, static_cast<std::size_t>(spendable));
+    if (availableBytes >= minimumBytes) {
+        this->noticeTable.fill(this->lastTick, datagram, availableBytes / 2, this->transmissionLimit());
+        const std::size_t remainingBytes = availableBytes - datagram.notices.size() * encodedNoticeSize;
         if (!this->changes.empty())
-            this->changes.fill(datagram, left, this->table);
+            this->changes.fill(datagram, remainingBytes, this->table);
     }
     this->transmit(address, datagram, ownZone);
 }
@@ -457,7 +462,7 @@
     const std::size_t size = bytes.size() + datagramOverheadBytes;
     this->budget.take(size);
     if (!ownZone)
-        this->acrossBudget.take(size);
+        this->crossZoneBudget.take(size);
     KindCounters &kind = this->counts.kinds[static_cast<std::size_t>(datagram.kind)];
     ++kind.sent;
     kind.sentBytes += size;
@@ -466,8 +471,8 @@
 
 Duration Membership::jittered(Duration interval)
 {
-    std::uniform_real_distribution<double> share(0.8, 1.2);
-    return std::chrono::duration_cast<Duration>(interval * share(this->random));
+    std::uniform_real_distribution<double> factor(0.8, 1.2);
+    return std::chrono::duration_cast<Duration>(interval * factor(this->random));
 }
 
 } // namespace Sagecrank
--- a/Libraries/LibMembership/MembershipProbe.cpp
+++ b/Libraries/LibMembership/MembershipProbe.cpp
@@ -1,4 +1,4 @@
-// Failure detection: probes, indirect probes, suspicion, and contact with members held for dead.
+// Failure detection of Membership: probes, indirect probes, suspicion, and reconnection to dead members.
 #include <LibMembership/Membership.h>
 
 #include <algorithm>
@@ -8,63 +8,65 @@
 
 namespace {
 
-constexpr std::uint32_t worstHealth = 8;
+constexpr std::uint32_t maximumHealthScore = 8;
 constexpr Duration relayLifetime = Milliseconds(5000);
-constexpr std::size_t suspectsOfTroubledZone = 2;
-constexpr std::uint32_t probesOfTroubledZone = 6;
-constexpr int lastCallsOfSuspicion = 3;    // At a half, a quarter and an eighth of the time that is left.
-constexpr std::size_t maximumRelays = 256; // What others may make this node remember.
+constexpr std::size_t suspectsOfFailingZone = 2;
+constexpr std::uint32_t probesOfFailingZone = 6;
+// When a half, a quarter and an eighth of the suspicion time is left.
+constexpr int finalProbesPerSuspicion = 3;
+constexpr std::size_t maximumRelays = 256; // Bounds the state that requests of other nodes create.
 
 } // namespace
 
-// Load: thousands of members, of which some are slow for seconds. Harm: a short suspicion takes living
-// upstreams out, a long one leaves dead ones in. It grows with the logarithm of the members, as the rounds
-// of gossip that a refutation needs do, and with this node's own bad health.
+// With thousands of members, some are always slow for seconds. A short suspicion removes upstreams that are
+// alive, and a long one keeps dead ones. It grows with the logarithm of the member count, as do the gossip
+// rounds that a refutation needs, and with this node's own health score.
 Duration Membership::suspicionTime() const
 {
     const double members = static_cast<double>(this->table.presentCount()) + 1;
     const double periods = this->settings.suspicionFactor * std::max(1.0, std::log10(members));
-    const double unwell = 1.0 + static_cast<double>(this->health) / 2;
-    return std::chrono::duration_cast<Duration>(this->settings.probeInterval * periods * unwell);
+    const double healthFactor = 1.0 + static_cast<double>(this->health) / 2;
+    return std::chrono::duration_cast<Duration>(this->settings.probeInterval * periods * healthFactor);
 }
 
 void Membership::probeNext(Instant now)
 {
     ++this->probeRounds;
     const std::vector<std::uint64_t> &zonePeers = this->table.zonePeers();
-    const std::vector<std::uint64_t> &otherPeers = this->table.otherZonePeers();
+    const std::vector<std::uint64_t> &otherZonePeers = this->table.otherZonePeers();
     if (!zonePeers.empty())
         this->startProbe(now, this->nextInRing(this->zoneRing, zonePeers));
     const double every = this->settings.crossZoneProbePeriods;
-    const bool crossing = zonePeers.empty()
-                          || (this->probeRounds % this->settings.crossZoneProbePeriods == 0
-                              && this->isMyTurnAcross(every * this->settings.crossZoneProbersPerZone));
-    const bool helped = this->troubledProbes > 0 && this->probeTroubledZone(now);
-    if (crossing && !helped && !otherPeers.empty())
-        this->startProbe(now, this->nextInRing(this->otherRing, otherPeers));
+    const bool crossZone = zonePeers.empty()
+                           || (this->probeRounds % this->settings.crossZoneProbePeriods == 0
+                               && this->drawCrossZoneTurn(every * this->settings.crossZoneProbersPerZone));
+    const bool probedFailingZone = this->failingZoneProbes > 0 && this->probeFailingZone(now);
+    if (crossZone && !probedFailingZone && !otherZonePeers.empty())
+        this->startProbe(now, this->nextInRing(this->otherZoneRing, otherZonePeers));
 }
 
-// Load: a zone of 260 is lost, and nobody inside is left to notice. Harm: the few probes that come from
-// outside take half a minute to reach its last member, and callers go on choosing it. Two suspects of one
-// zone are a sign of more, so for some seconds every node probes it once a second; for one suspect alone it
-// does not.
-void Membership::noteTroubledZone(const Member &suspect)
+// When a zone of 260 nodes fails, none of its members is left to detect it. The few probes from other zones
+// need half a minute to cover all members, while callers keep choosing them. Two suspects in one zone suggest
+// that more have failed, so every node then probes that zone once per second for some seconds. A single
+// suspect does not trigger this.
+void Membership::detectFailingZone(const Member &suspect)
 {
     if (suspect.zone == this->own.zone)
         return;
     std::size_t suspects = 0;
     for (const std::uint64_t idHash : this->table.suspects())
         suspects += this->table.find(idHash)->member.zone == suspect.zone ? 1 : 0;
-    if (suspects < suspectsOfTroubledZone)
+    if (suspects < suspectsOfFailingZone)
         return;
-    this->troubledZone = suspect.zone;
-    this->troubledProbes = probesOfTroubledZone;
+    this->failingZone = suspect.zone;
+    this->failingZoneProbes = probesOfFailingZone;
 }
 
-// With nobody left to suspect in that zone, any other will do: a region that was cut off has several.
-bool Membership::probeTroubledZone(Instant now)
+// Without a live member left in that zone, probes any other zone: a region that was cut off has several
+// zones.
+bool Membership::probeFailingZone(Instant now)
 {
-    --this->troubledProbes;
+    --this->failingZoneProbes;
     const std::vector<std::uint64_t> &peers = this->table.otherZonePeers();
     std::uniform_int_distribution<std::size_t> any(0, peers.empty() ? 0 : peers.size() - 1);
     const std::size_t first = any(this->random);
@@ -74,7 +76,7 @@
         if (record->member.state != MemberState::Alive)
             continue;
         target = target == nullptr ? record : target;
-        if (record->member.zone != this->troubledZone)
+        if (record->member.zone != this->failingZone)
             continue;
         target = record;
         break;
@@ -85,7 +87,7 @@
     return true;
 }
 
-// Every member comes up once in a pass, so the time to its next probe is bounded.
+// Each pass covers every member once, which bounds the time until a member is probed again.
 std::uint64_t Membership::nextInRing(std::vector<std::uint64_t> &ring,
                                      const std::vector<std::uint64_t> &members)
 {
@@ -112,35 +114,34 @@
     this->probes[sequence] = Probe{target, now, false};
     Datagram ping = this->makeDatagram(DatagramKind::Ping, sequence);
     ping.target = record->member.id;
-    // A suspect learns of it from whoever probes it, and can refute.
+    // Tells a suspect that it is one, so that it can refute.
     if (record->member.state != MemberState::Alive)
         ping.updates.push_back(MemberTable::makeUpdate(*record));
-    this->sendWithChanges(record->member.gossipAddress, this->isOfOwnZone(record), std::move(ping));
+    this->sendWithChanges(record->member.gossipAddress, this->isInOwnZone(record), std::move(ping));
 }
 
 void Membership::checkProbes(Instant now)
 {
-    const auto patience = [&](Duration time) { return time * (1 + this->health); };
+    const auto scaledByHealth = [&](Duration time) { return time * (1 + this->health); };
     std::vector<std::uint64_t> overdue;
     for (auto entry = this->probes.begin(); entry != this->probes.end();) {
         Probe &probe = entry->second;
         const Duration waited = now - probe.started;
-        if (!probe.askedOthers && waited >= patience(this->settings.probeTimeout)) {
-            probe.askedOthers = true;
-            this->askOthers(now, entry->first, probe);
+        if (!probe.indirectSent && waited >= scaledByHealth(this->settings.probeTimeout)) {
+            probe.indirectSent = true;
+            this->sendIndirectProbes(now, entry->first, probe);
         }
-        if (waited >= patience(this->settings.probeInterval)) {
+        if (waited >= scaledByHealth(this->settings.probeInterval)) {
             const std::uint64_t target = probe.target;
             entry = this->probes.erase(entry);
             this->suspect(now, target);
-            this->raiseHealth(1);
+            this->raiseHealthScore(1);
             overdue.push_back(target);
         } else {
             ++entry;
         }
     }
-    // Whoever suspects a member goes on telling it so, since a refutation that is lost once may cost its
-    // life.
+    // Keeps probing a suspect: if its only refutation were lost, it would be declared dead.
     for (const std::uint64_t target : overdue) {
         const MemberRecord *record = this->table.find(target);
         if (record != nullptr && record->member.state == MemberState::Suspect)
@@ -150,20 +151,20 @@
                   [&](const auto &entry) { return now - entry.second.started > relayLifetime; });
 }
 
-void Membership::askOthers(Instant /*now*/, std::uint32_t sequence, const Probe &probe)
+void Membership::sendIndirectProbes(Instant /*now*/, std::uint32_t sequence, const Probe &probe)
 {
     const MemberRecord *target = this->table.find(probe.target);
     if (target == nullptr)
         return;
     for (std::uint32_t i = 0; i < this->settings.indirectProbes; ++i) {
-        // The first helper shares this node's way out, the others do not.
-        const MemberRecord *helper = this->table.find(this->pickPeer(i == 0));
-        if (helper == nullptr || helper->idHash == probe.target)
+        // The first relay is in this node's zone and shares its uplink; the others do not.
+        const MemberRecord *relay = this->table.find(this->pickPeer(i == 0));
+        if (relay == nullptr || relay->idHash == probe.target)
             continue;
         Datagram request = this->makeDatagram(DatagramKind::PingRequest, sequence);
         request.target = target->member.id;
         request.targetAddress = target->member.gossipAddress;
-        this->transmit(helper->member.gossipAddress, request);
+        this->transmit(relay->member.gossipAddress, request);
     }
 }
 
@@ -173,11 +174,11 @@
     if (record == nullptr || record->member.state != MemberState::Alive)
         return;
     ++this->counts.suspicions;
-    MemberUpdate brief = MemberTable::makeUpdate(*record);
-    brief.state = MemberState::Suspect;
-    const MergeOutcome outcome = this->table.merge(brief, now);
+    MemberUpdate update = MemberTable::makeUpdate(*record);
+    update.state = MemberState::Suspect;
+    const MergeOutcome outcome = this->table.merge(update, now);
     this->afterMerge(now, target, outcome);
-    this->spread(target, outcome, false);
+    this->queueChange(target, outcome, false);
 }
 
 void Membership::checkSuspects(Instant now)
@@ -187,41 +188,40 @@
         if (record == nullptr)
             continue;
         if (now < record->suspectDeadline) {
-            this->callSuspect(now, *record);
+            this->sendFinalProbe(now, *record);
             continue;
         }
         ++this->counts.deaths;
-        MemberUpdate brief = MemberTable::makeUpdate(*record);
-        brief.state = MemberState::Dead;
-        const MergeOutcome outcome = this->table.merge(brief, now);
+        MemberUpdate update = MemberTable::makeUpdate(*record);
+        update.state = MemberState::Dead;
+        const MergeOutcome outcome = this->table.merge(update, now);
         this->afterMerge(now, idHash, outcome);
-        this->spread(idHash, outcome, false);
+        this->queueChange(idHash, outcome, false);
     }
-    std::erase_if(this->lastCalls, [&](const auto &entry) {
+    std::erase_if(this->finalProbes, [&](const auto &entry) {
         const MemberRecord *record = this->table.find(entry.first);
         return record == nullptr || record->member.state != MemberState::Suspect;
     });
 }
 
-// Load: one datagram in ten is lost, and a refutation misses one node in a thousand. Harm: that node holds a
-// living member for dead and tells everybody so. By the middle of a suspicion a refutation has reached nearly
-// all, so the few that still wait for it can ask the suspect itself, three times, without a storm on it.
-// Among 40 members that lost one datagram in ten, ten minutes had a false death in 11 of 400 runs with three
-// calls, in 16 to 22 with two.
-void Membership::callSuspect(Instant now, const MemberRecord &record)
+// With a datagram loss of one in ten, a refutation misses about one node in a thousand, and that node would
+// declare the member dead and gossip it. Halfway through the suspicion nearly all nodes have the refutation,
+// so the few others can probe the suspect directly without flooding it. With 40 members and that loss, ten
+// minutes had a false death in 11 of 400 runs with three final probes, and in 16 to 22 with two.
+void Membership::sendFinalProbe(Instant now, const MemberRecord &record)
 {
-    LastCalls &calls = this->lastCalls[record.idHash];
-    if (calls.deadline != record.suspectDeadline)
-        calls = LastCalls{record.suspectDeadline, 0};
-    const Duration left = record.suspectDeadline - now;
-    const Duration due = this->suspicionTime() / (2 << calls.made);
-    if (calls.made >= lastCallsOfSuspicion || left > due)
+    FinalProbes &attempts = this->finalProbes[record.idHash];
+    if (attempts.deadline != record.suspectDeadline)
+        attempts = FinalProbes{record.suspectDeadline, 0};
+    const Duration remaining = record.suspectDeadline - now;
+    const Duration threshold = this->suspicionTime() / (2 << attempts.sent);
+    if (attempts.sent >= finalProbesPerSuspicion || remaining > threshold)
         return;
-    ++calls.made;
+    ++attempts.sent;
     this->ping(record);
 }
 
-// Asks for a sign of life and says what is held of the member here, so that it can refute that.
+// Carries the local record of the member, so that it can refute it.
 void Membership::ping(const MemberRecord &record)
 {
     Datagram ping = this->makeDatagram(DatagramKind::Ping, ++this->lastSequence);
@@ -230,9 +230,9 @@
     this->transmit(record.member.gossipAddress, ping);
 }
 
-// Load: two regions that lost each other for an hour hold each other for dead. Harm: without contact neither
-// would ever learn otherwise. One ping every few seconds to one of them is enough, since the first that
-// answers brings the rest back by the comparison of tables.
+// After a long partition, two regions consider each other dead, and without contact neither would recover.
+// One ping to a dead member every few seconds is enough: the first answer leads to a sync that brings back
+// the rest.
 void Membership::reconnect(Instant /*now*/)
 {
     const std::vector<std::uint64_t> &dead = this->table.deadMembers();
@@ -246,19 +246,19 @@
 
 void Membership::handlePing(Instant /*now*/, const std::string &from, const Datagram &datagram)
 {
-    // An address may have passed to another node; its answer would keep the old one alive.
+    // The address may have been reused by this node; answering would keep the previous owner alive.
     if (datagram.target != this->own.id)
         return;
     Datagram ack = this->makeDatagram(DatagramKind::Ack, datagram.sequence);
     const MemberRecord *sender = this->table.find(datagram.sender);
     if (sender != nullptr && sender->member.state != MemberState::Alive)
         ack.updates.push_back(MemberTable::makeUpdate(*sender));
-    this->sendWithChanges(from, this->isOfOwnZone(sender), std::move(ack));
+    this->sendWithChanges(from, this->isInOwnZone(sender), std::move(ack));
 }
 
 void Membership::handlePingRequest(Instant now, const Datagram &datagram, const std::string &from)
 {
-    if (this->relays.size() >= maximumRelays || !this->maySpend(0))
+    if (this->relays.size() >= maximumRelays || !this->hasBudget(0))
         return;
     const std::uint32_t sequence = ++this->lastSequence;
     this->relays[sequence] = Relay{from, datagram.sequence, now};
@@ -280,24 +280,23 @@
         --this->health;
 }
 
-// Load: a process that was frozen for seconds or minutes and goes on. Harm: its probes and suspicions have
-// all lapsed while it slept, and it would declare the living dead. So nothing that lapsed counts, and it
-// learns again before it judges.
-void Membership::wake(Instant now)
+// After the process was frozen for seconds or minutes, all its probes and suspicions have timed out, and it
+// would declare live members dead. Discards them, restarts suspicions and syncs first.
+void Membership::resumeAfterPause(Instant now)
 {
     ++this->counts.pauses;
     this->probes.clear();
     this->relays.clear();
-    this->raiseHealth(2);
+    this->raiseHealthScore(2);
     for (const std::uint64_t idHash : this->table.suspects())
         this->table.setSuspectDeadline(idHash, now + this->suspicionTime());
     this->nextSync = now;
     this->nextProbe = now;
 }
 
-void Membership::raiseHealth(std::uint32_t by)
+void Membership::raiseHealthScore(std::uint32_t by)
 {
-    this->health = std::min(worstHealth, this->health + by);
+    this->health = std::min(maximumHealthScore, this->health + by);
 }
 
 } // namespace Sagecrank
--- a/Libraries/LibMembership/MembershipSync.cpp
+++ b/Libraries/LibMembership/MembershipSync.cpp
@@ -1,4 +1,4 @@
-// Spreading of changes, the first view of a node that joins, and the comparison of tables.
+// Gossip, joining and anti-entropy sync of Membership.
 #include <LibMembership/Membership.h>
 
 #include <algorithm>
@@ -7,26 +7,26 @@
 
 namespace {
 
-constexpr Duration longestJoinBackoff = Milliseconds(10000);
+constexpr Duration maximumJoinBackoff = Milliseconds(10000);
 constexpr Duration rejoinInterval = std::chrono::minutes(1);
 constexpr std::uint32_t joinTargets = 3;
-// A row may outlive its node. All strangers together cost a node at most two datagrams of 300 bytes a second,
-// and with few of them each is greeted every 1.5 s: about as long as two groups may stand apart.
-constexpr Duration greetingInterval = Milliseconds(500);
-constexpr Duration shortestLastBackoff = Milliseconds(1500);
-constexpr Duration longestGreetingBackoff = Milliseconds(30000);
-// Whether a member still stands at a seed is looked at this often.
-constexpr Duration acquaintanceCheck = Milliseconds(1000);
-constexpr std::size_t joinAnswerDatagrams = 8; // A third of a zone of 260 in 1,200-byte datagrams.
+// An introducer row may outlive its node, so some seeds never answer. Contacting all unknown seeds costs at
+// most two datagrams of 300 bytes per second. A few unknown seeds are contacted every 1.5 s each, which is
+// about how long two groups may stay apart.
+constexpr Duration seedContactInterval = Milliseconds(500);
+constexpr Duration minimumSeedBackoffLimit = Milliseconds(1500);
+constexpr Duration maximumSeedBackoffLimit = Milliseconds(30000);
+constexpr Duration knownSeedCheckInterval = Milliseconds(1000);
+constexpr std::size_t joinAnswerDatagrams = 8; // A third of a zone of 260 nodes in 1,200-byte datagrams.
 constexpr std::size_t syncAnswerDatagrams = 4;
-constexpr std::uint32_t roundsAfterNews = 4;
-// Load: 60 nodes start together, and each hears of most others at once and misses a few. Harm: it learned of
-// those at its next ordinary comparison, and views were complete after 11 s. Comparing for ten seconds more
-// costs 13 KB.
-constexpr std::uint32_t roundsAfterJoin = 12;
+constexpr std::uint32_t catchUpRoundsAfterChange = 4;
+// When 60 nodes start together, each learns of most others at once and misses a few. Without these rounds it
+// would get those at its next regular sync, and views would be complete only after 11 s. Ten seconds of
+// faster syncs cost 13 KB.
+constexpr std::uint32_t catchUpRoundsAfterJoin = 12;
 constexpr std::size_t maximumWanted = 100;
-constexpr Duration requestAgainAfter = Milliseconds(1000);
-// What may be put off leaves a part of the budget to probes and changes.
+constexpr Duration recordRequestInterval = Milliseconds(1000);
+// Share of the budget that syncs leave to probes and changes.
 constexpr double syncReserve = 0.3;
 
 } // namespace
@@ -44,48 +44,48 @@
     return peers[any(this->random)];
 }
 
-bool Membership::isMyTurnAcross(double ofTheZone)
+bool Membership::drawCrossZoneTurn(double nodesPerZone)
 {
-    const auto zone = static_cast<double>(this->table.zonePeers().size() + 1);
-    return std::uniform_real_distribution<double>(0, zone)(this->random) < ofTheZone;
+    const auto zoneSize = static_cast<double>(this->table.zonePeers().size() + 1);
+    return std::uniform_real_distribution<double>(0, zoneSize)(this->random) < nodesPerZone;
 }
 
-// Load: a drain must be seen by 6,500 nodes within seconds. Rounds five times a second to three members each
-// reach all of them in about nine rounds; the targets outside the zone carry it across.
+// A drain must reach 6,500 nodes within seconds. Five rounds per second to three members each reach all of
+// them in about nine rounds; targets in other zones carry it across.
 void Membership::gossip(Instant /*now*/)
 {
-    if (this->goodbyeRounds > 0)
-        --this->goodbyeRounds;
-    const bool across =
-        this->ownNewsRounds > 0 || this->isMyTurnAcross(this->settings.crossZoneGossipersPerZone);
-    this->ownNewsRounds -= this->ownNewsRounds > 0 ? 1 : 0;
-    const std::uint32_t tellLimit = this->newsTellLimit();
+    if (this->leaveRounds > 0)
+        --this->leaveRounds;
+    const bool crossZone =
+        this->ownChangeRounds > 0 || this->drawCrossZoneTurn(this->settings.crossZoneGossipersPerZone);
+    this->ownChangeRounds -= this->ownChangeRounds > 0 ? 1 : 0;
+    const std::uint32_t transmissionLimit = this->transmissionLimit();
     for (std::uint32_t i = 0; i < this->settings.gossipFanout; ++i) {
-        const bool anyHead = this->headMark.version != 0 || this->eraRose;
-        const bool headIsNews = anyHead && this->headTold < tellLimit;
-        const bool noticeIsNews = this->board.hasNews(tellLimit);
-        if (this->changes.empty() && !headIsNews && !noticeIsNews)
+        const bool hasHead = this->highestHead.version != 0 || this->storeEraChanged;
+        const bool headPending = hasHead && this->headTransmissions < transmissionLimit;
+        const bool noticePending = this->noticeTable.hasPending(transmissionLimit);
+        if (this->changes.empty() && !headPending && !noticePending)
             return;
-        if (!this->maySpend(0)) {
+        if (!this->hasBudget(0)) {
             ++this->counts.suppressed;
             return;
         }
-        const MemberRecord *peer = this->table.find(this->pickPeer(i != 0 || !across));
+        const MemberRecord *peer = this->table.find(this->pickPeer(i != 0 || !crossZone));
         if (peer == nullptr)
             return;
-        const bool ownZone = this->isOfOwnZone(peer);
-        if (!this->maySpend(0, ownZone))
+        const bool ownZone = this->isInOwnZone(peer);
+        if (!this->hasBudget(0, ownZone))
             continue;
-        ++this->headTold;
+        ++this->headTransmissions;
         this->sendWithChanges(peer->member.gossipAddress, ownZone, this->makeDatagram(DatagramKind::Gossip));
     }
 }
 
-// Whoever has a view compares it with one of the seeds now and then. One without a view counts how long it
-// has had no answer.
+// A node with a view syncs with one of its seeds from time to time. One without counts the attempts that
+// nobody answered.
 void Membership::join(Instant now)
 {
-    if (this->heardAnyone && this->table.presentCount() > 1) {
+    if (this->heardFromPeer && this->table.presentCount() > 1) {
         this->nextJoin = now + this->jittered(rejoinInterval);
         if (!this->settings.seeds.empty()) {
             std::uniform_int_distribution<std::size_t> any(0, this->settings.seeds.size() - 1);
@@ -96,147 +96,148 @@
     this->nextJoin = now + this->jittered(this->joinBackoff);
     if (this->settings.seeds.empty())
         return;
-    this->joinBackoff = std::min(this->joinBackoff * 2, longestJoinBackoff);
+    this->joinBackoff = std::min(this->joinBackoff * 2, maximumJoinBackoff);
     ++this->joinAttempts;
 }
 
-// Failure: nodes start together, or a cut heals, and some meet before they have heard of the others. Symptom:
-// two groups that could reach each other each take themselves for the whole mesh, with no fault about, and
-// their callers find a part of the upstreams only. So meeting somebody does not end the search: each seed
-// that no member is known at is greeted until one is, ever more seldom, since a row may outlive its node. One
-// answer joins two groups: the greeter gets the other's members, and both spread what is new to them.
-void Membership::greetStrangers(Instant now)
+// When nodes start together or a partition heals, some find each other before they know of the rest. If the
+// search ended there, two groups that can reach each other would each take themselves for the whole mesh, and
+// their callers would find only a part of the upstreams. Each seed without a known member at its address is
+// therefore contacted until there is one, with backoff, since an introducer row may outlive its node. One
+// answer merges two groups: the sender gets the other's members, and both gossip what is new to them.
+void Membership::contactUnknownSeeds(Instant now)
 {
-    const std::vector<std::string> strangers = this->dueStrangers(now);
-    if (strangers.empty())
+    const std::vector<std::string> unknownSeeds = this->takeDueSeeds(now);
+    if (unknownSeeds.empty())
         return;
-    const bool firstView = !this->heardAnyone;
-    for (std::size_t i = 0; i < strangers.size(); ++i) {
+    const bool needsInitialList = !this->heardFromPeer;
+    for (std::size_t i = 0; i < unknownSeeds.size(); ++i) {
         Datagram datagram = this->makeDatagram(DatagramKind::Join);
         datagram.members.push_back(this->own);
-        // Each of those that are asked for a first view answers with another part of the zone.
-        if (firstView)
-            datagram.buckets = {static_cast<std::uint8_t>(i), static_cast<std::uint8_t>(strangers.size())};
-        this->transmit(strangers[i], datagram);
+        // Each seed asked for an initial member list answers with another part of the zone.
+        if (needsInitialList)
+            datagram.buckets = {static_cast<std::uint8_t>(i), static_cast<std::uint8_t>(unknownSeeds.size())};
+        this->transmit(unknownSeeds[i], datagram);
     }
-    if (!firstView)
+    if (!needsInitialList)
         return;
-    this->catchUpRounds = std::max(this->catchUpRounds, roundsAfterJoin);
+    this->catchUpRounds = std::max(this->catchUpRounds, catchUpRoundsAfterJoin);
     this->nextSync = std::min(this->nextSync, now + this->settings.catchUpInterval);
 }
 
-// Load: 128 seeds and 6,500 members. Harm of searching the table for each seed: 830,000 records a second. One
-// pass serves all of them.
+// One pass over the table for all addresses: with 128 seeds and 6,500 members, one pass per seed would visit
+// 830,000 records per second.
 std::unordered_set<std::string_view> Membership::membersAt(const std::vector<std::string> &addresses) const
 {
-    std::unordered_set<std::string_view> met;
+    std::unordered_set<std::string_view> known;
     if (addresses.empty())
-        return met;
+        return known;
     const std::unordered_set<std::string_view> wanted(addresses.begin(), addresses.end());
     this->table.forEach([&](const MemberRecord &record) {
         const auto found = wanted.find(record.member.gossipAddress);
         if (found != wanted.end() && isPresent(record.member.state))
-            met.insert(*found);
+            known.insert(*found);
     });
-    return met;
+    return known;
 }
 
-Duration Membership::longestBackoffOfGreetings() const
+Duration Membership::maximumSeedBackoff() const
 {
-    const auto strangers =
-        std::ranges::count_if(this->greetings, [](const auto &entry) { return !entry.second.met; });
-    return std::clamp<Duration>(greetingInterval * strangers, shortestLastBackoff, longestGreetingBackoff);
+    const auto unknownCount =
+        std::ranges::count_if(this->seedContacts, [](const auto &entry) { return !entry.second.known; });
+    return std::clamp<Duration>(seedContactInterval * unknownCount, minimumSeedBackoffLimit,
+                                maximumSeedBackoffLimit);
 }
 
-// A few at a time, those of its own zone first: they know as much as the others and are near.
-std::vector<std::string> Membership::dueStrangers(Instant now)
+// Returns a few at a time, seeds in the own zone first: they know as much as the others and are nearer.
+std::vector<std::string> Membership::takeDueSeeds(Instant now)
 {
     std::vector<std::string> due;
-    for (const auto &[address, greeting] : this->greetings) {
-        if (greeting.next <= now && address != this->own.gossipAddress)
+    for (const auto &[address, contact] : this->seedContacts) {
+        if (contact.next <= now && address != this->own.gossipAddress)
             due.push_back(address);
     }
     std::shuffle(due.begin(), due.end(), this->random);
     std::stable_partition(due.begin(), due.end(), [this](const std::string &address) {
         return std::find(this->zoneSeeds.begin(), this->zoneSeeds.end(), address) != this->zoneSeeds.end();
     });
-    std::vector<std::string> strangers;
-    const std::unordered_set<std::string_view> met = this->membersAt(due);
+    std::vector<std::string> unknownSeeds;
+    const std::unordered_set<std::string_view> known = this->membersAt(due);
     for (const std::string &address : due) {
-        if (strangers.size() == joinTargets)
+        if (unknownSeeds.size() == joinTargets)
             break;
-        Greeting &greeting = this->greetings[address];
-        if (met.contains(address)) {
-            greeting = Greeting{now + acquaintanceCheck, acquaintanceCheck, true};
+        SeedContact &contact = this->seedContacts[address];
+        if (known.contains(address)) {
+            contact = SeedContact{now + knownSeedCheckInterval, knownSeedCheckInterval, true};
             continue;
         }
-        greeting.met = false;
-        greeting.next = now + this->jittered(greeting.backoff);
-        greeting.backoff = std::min(greeting.backoff * 2, this->longestBackoffOfGreetings());
-        strangers.push_back(address);
+        contact.known = false;
+        contact.next = now + this->jittered(contact.backoff);
+        contact.backoff = std::min(contact.backoff * 2, this->maximumSeedBackoff());
+        unknownSeeds.push_back(address);
     }
-    return strangers;
+    return unknownSeeds;
 }
 
-// A joining node gets members of its own zone first, for it calls those most; the rest comes by comparison.
+// A joining node gets the members of its own zone first, since it calls those most; sync brings the rest.
 void Membership::handleJoin(Instant /*now*/, const std::string &from, const Datagram &datagram)
 {
     const MemberRecord *joiner = this->table.find(datagram.sender);
     if (joiner == nullptr)
         return;
-    const bool divided = datagram.buckets.size() == 2 && datagram.buckets[1] > 0;
-    const std::uint64_t parts = divided ? datagram.buckets[1] : 1;
-    const std::uint64_t part = divided ? datagram.buckets[0] % parts : 0;
-    std::vector<const MemberRecord *> near;
-    std::vector<const MemberRecord *> far;
+    const bool isDivided = datagram.buckets.size() == 2 && datagram.buckets[1] > 0;
+    const std::uint64_t parts = isDivided ? datagram.buckets[1] : 1;
+    const std::uint64_t part = isDivided ? datagram.buckets[0] % parts : 0;
+    std::vector<const MemberRecord *> sameZoneRecords;
+    std::vector<const MemberRecord *> otherRecords;
     this->table.forEach([&](const MemberRecord &record) {
         if (!isPresent(record.member.state) || record.idHash == joiner->idHash)
             return;
         const bool sameZone = record.member.zone == joiner->member.zone;
         if (sameZone && record.idHash / bucketCount % parts == part)
-            near.push_back(&record);
+            sameZoneRecords.push_back(&record);
         else
-            far.push_back(&record);
+            otherRecords.push_back(&record);
     });
-    std::shuffle(near.begin(), near.end(), this->random);
-    std::shuffle(far.begin(), far.end(), this->random);
-    near.insert(near.end(), far.begin(), far.end());
-    this->sendNotices(from, this->isOfOwnZone(joiner));
-    // This node's own record is in the list or not by chance; the header's incarnation makes up for it.
-    this->sendRecords(from, this->isOfOwnZone(joiner), near, joinAnswerDatagrams);
+    std::shuffle(sameZoneRecords.begin(), sameZoneRecords.end(), this->random);
+    std::shuffle(otherRecords.begin(), otherRecords.end(), this->random);
+    sameZoneRecords.insert(sameZoneRecords.end(), otherRecords.begin(), otherRecords.end());
+    this->sendNotices(from, this->isInOwnZone(joiner));
+    // If this node's own record does not fit, the receiver requests it because of the sender's incarnation.
+    this->sendRecords(from, this->isInOwnZone(joiner), sameZoneRecords, joinAnswerDatagrams);
     if (joiner->member.incarnation > datagram.senderIncarnation || !isPresent(joiner->member.state)) {
-        Datagram notice = this->makeDatagram(DatagramKind::Gossip);
-        notice.updates.push_back(MemberTable::makeUpdate(*joiner));
-        this->transmit(from, notice);
+        Datagram reply = this->makeDatagram(DatagramKind::Gossip);
+        reply.updates.push_back(MemberTable::makeUpdate(*joiner));
+        this->transmit(from, reply);
     }
 }
 
 void Membership::catchUp(Instant now)
 {
-    this->catchUpRounds = roundsAfterNews;
+    this->catchUpRounds = catchUpRoundsAfterChange;
     this->nextSync = std::min(this->nextSync, now + this->jittered(this->settings.catchUpInterval));
 }
 
 void Membership::startSync(Instant /*now*/)
 {
-    if (!this->maySpend(syncReserve)) {
+    if (!this->hasBudget(syncReserve)) {
         ++this->counts.suppressed;
         return;
     }
     std::uniform_int_distribution<int> quarter(0, 3);
-    const bool across =
-        quarter(this->random) == 0 && this->isMyTurnAcross(4 * this->settings.crossZoneSyncersPerZone);
-    const MemberRecord *peer = this->table.find(across ? this->pickPeer(false) : this->nextToCompare());
+    const bool crossZone =
+        quarter(this->random) == 0 && this->drawCrossZoneTurn(4 * this->settings.crossZoneSyncersPerZone);
+    const MemberRecord *peer = this->table.find(crossZone ? this->pickPeer(false) : this->nextSyncPeer());
     if (peer != nullptr)
         this->transmit(peer->member.gossipAddress, this->makeSyncDigest());
 }
 
-// Failure: two nodes miss the same member and by chance compare with each other again and again. Symptom:
-// they do not hear of it for seconds. Each peer of the zone comes up once in a pass.
-std::uint64_t Membership::nextToCompare()
+// Each pass covers every peer of the zone once. With random picks, two nodes that miss the same member may
+// sync with each other repeatedly and not learn of it for seconds.
+std::uint64_t Membership::nextSyncPeer()
 {
     const std::vector<std::uint64_t> &zonePeers = this->table.zonePeers();
-    return zonePeers.empty() ? this->pickPeer(true) : this->nextInRing(this->compareRing, zonePeers);
+    return zonePeers.empty() ? this->pickPeer(true) : this->nextInRing(this->syncRing, zonePeers);
 }
 
 Datagram Membership::makeSyncDigest()
@@ -249,9 +250,9 @@
 
 void Membership::handleSyncDigest(Instant /*now*/, const std::string &from, const Datagram &datagram)
 {
-    if (datagram.bucketHashes.size() != bucketCount || !this->maySpend(syncReserve))
+    if (datagram.bucketHashes.size() != bucketCount || !this->hasBudget(syncReserve))
         return;
-    this->sendNotices(from, this->isOfOwnZone(this->table.find(datagram.sender)));
+    this->sendNotices(from, this->isInOwnZone(this->table.find(datagram.sender)));
     std::vector<std::uint8_t> differing;
     std::vector<const MemberRecord *> missing;
     const BucketHashes &hashes = this->table.bucketHashes();
@@ -261,11 +262,11 @@
     }
     std::shuffle(differing.begin(), differing.end(), this->random);
     Datagram reply = this->makeDatagram(DatagramKind::SyncEntries, datagram.sequence);
-    constexpr std::size_t headRoom = 200;
-    std::size_t used = headRoom;
+    constexpr std::size_t headerBytes = 200;
+    std::size_t used = headerBytes;
     for (const std::uint8_t index : differing) {
         const std::vector<const MemberRecord *> bucket = this->table.bucket(index);
-        // The other side has nothing there: the records themselves save a round trip.
+        // The sender's bucket is empty: sending the records at once saves a round trip.
         if (datagram.bucketHashes[index] == 0) {
             for (const MemberRecord *record : bucket) {
                 if (isPresent(record->member.state))
@@ -283,24 +284,24 @@
     }
     if (!reply.buckets.empty())
         this->transmit(from, reply);
-    // A node that has just joined calls its own zone most.
+    // A node that has just joined calls the upstreams of its own zone most.
     const MemberRecord *asker = this->table.find(datagram.sender);
     if (asker != nullptr) {
         std::stable_partition(missing.begin(), missing.end(), [&](const MemberRecord *record) {
             return record->member.zone == asker->member.zone;
         });
     }
-    this->sendRecords(from, this->isOfOwnZone(asker), missing, syncAnswerDatagrams);
+    this->sendRecords(from, this->isInOwnZone(asker), missing, syncAnswerDatagrams);
 }
 
 void Membership::handleSyncEntries(Instant now, const std::string &from, const Datagram &datagram)
 {
-    std::unordered_map<std::uint64_t, const SyncEntry *> theirs;
+    std::unordered_map<std::uint64_t, const SyncEntry *> remoteEntries;
     std::vector<std::uint64_t> wanted;
     std::vector<const MemberRecord *> offered;
     for (const SyncEntry &entry : datagram.entries) {
-        theirs[entry.idHash] = &entry;
-        if (this->concernsOwn(now, entry.idHash, entry.incarnation, entry.state))
+        remoteEntries[entry.idHash] = &entry;
+        if (this->refuteIfOwn(now, entry.idHash, entry.incarnation, entry.state))
             continue;
         const MemberRecord *record = this->table.find(entry.idHash);
         const bool unknown = record == nullptr && isPresent(entry.state);
@@ -313,9 +314,9 @@
     }
     for (const std::uint8_t index : datagram.buckets) {
         for (const MemberRecord *record : this->table.bucket(index)) {
-            const auto found = theirs.find(record->idHash);
-            const bool unknown = found == theirs.end() && isPresent(record->member.state);
-            const bool newer = found != theirs.end()
+            const auto found = remoteEntries.find(record->idHash);
+            const bool unknown = found == remoteEntries.end() && isPresent(record->member.state);
+            const bool newer = found != remoteEntries.end()
                                && (record->member.incarnation > found->second->incarnation
                                    || (record->member.incarnation == found->second->incarnation
                                        && record->member.state > found->second->state));
@@ -323,8 +324,8 @@
                 offered.push_back(record);
         }
     }
-    this->request(now, from, wanted);
-    this->sendRecords(from, this->isOfOwnZone(this->table.find(datagram.sender)), offered,
+    this->requestRecords(now, from, wanted);
+    this->sendRecords(from, this->isInOwnZone(this->table.find(datagram.sender)), offered,
                       syncAnswerDatagrams);
     if (!wanted.empty() || !offered.empty())
         this->catchUp(now);
@@ -338,54 +339,55 @@
         if (record != nullptr)
             records.push_back(record);
     }
-    this->sendRecords(from, this->isOfOwnZone(this->table.find(datagram.sender)), records,
+    this->sendRecords(from, this->isInOwnZone(this->table.find(datagram.sender)), records,
                       syncAnswerDatagrams);
 }
 
-void Membership::request(Instant now, const std::string &address, const std::vector<std::uint64_t> &wanted)
+void Membership::requestRecords(Instant now, const std::string &address,
+                                const std::vector<std::uint64_t> &wanted)
 {
     Datagram datagram = this->makeDatagram(DatagramKind::SyncRequest);
     for (const std::uint64_t idHash : wanted) {
-        const auto asked = this->requested.find(idHash);
-        if (asked != this->requested.end() && now - asked->second < requestAgainAfter)
+        const auto lastRequest = this->requestedAt.find(idHash);
+        if (lastRequest != this->requestedAt.end() && now - lastRequest->second < recordRequestInterval)
             continue;
         if (datagram.wanted.size() >= maximumWanted)
             break;
-        this->requested[idHash] = now;
+        this->requestedAt[idHash] = now;
         datagram.wanted.push_back(idHash);
     }
-    if (datagram.wanted.empty() || !this->maySpend(0))
+    if (datagram.wanted.empty() || !this->hasBudget(0))
         return;
     this->transmit(address, datagram);
 }
 
-// There are hardly ever any, so whoever compares tables gets all of them instead of a hash to compare.
+// Notices are rare, so a node that syncs gets them outright instead of a hash to compare.
 void Membership::sendNotices(const std::string &address, bool ownZone)
 {
-    constexpr std::size_t mostNotices = 50; // Just under a thousand bytes.
-    std::vector<Notice> held = this->notices();
-    if (held.empty() || !this->maySpend(syncReserve, ownZone))
+    constexpr std::size_t maximumNoticesSent = 50; // Just under 1,000 bytes.
+    std::vector<Notice> current = this->notices();
+    if (current.empty() || !this->hasBudget(syncReserve, ownZone))
         return;
-    std::shuffle(held.begin(), held.end(), this->random);
-    held.resize(std::min(held.size(), mostNotices));
+    std::shuffle(current.begin(), current.end(), this->random);
+    current.resize(std::min(current.size(), maximumNoticesSent));
     Datagram datagram = this->makeDatagram(DatagramKind::Gossip);
-    datagram.notices = std::move(held);
+    datagram.notices = std::move(current);
     this->transmit(address, datagram, ownZone);
 }
 
 void Membership::sendRecords(const std::string &address, bool ownZone,
                              const std::vector<const MemberRecord *> &records, std::size_t maximumDatagrams)
 {
-    constexpr std::size_t headRoom = 200;
+    constexpr std::size_t headerBytes = 200;
     std::size_t next = 0;
     for (std::size_t sent = 0; sent < maximumDatagrams && next < records.size(); ++sent) {
-        if (!this->maySpend(syncReserve, ownZone)) {
+        if (!this->hasBudget(syncReserve, ownZone)) {
             ++this->counts.suppressed;
             return;
         }
-        // A sequence marks an answer: whoever gets one has more to catch up on.
+        // A nonzero sequence marks a sync answer, which makes the receiver catch up.
         Datagram answer = this->makeDatagram(DatagramKind::Gossip, 1);
-        std::size_t used = headRoom;
+        std::size_t used = headerBytes;
         while (next < records.size()) {
             const std::size_t size = encodedSize(records[next]->member);
             if (used + size > maximumDatagramBytes)
--- a/Libraries/LibMembership/NoticeTable.cpp
+++ b/Libraries/LibMembership/NoticeTable.cpp
@@ -1,4 +1,4 @@
-// Merging, telling and forgetting notices.
+// Merging, selection for gossip, and expiry of notices.
 #include <LibMembership/NoticeTable.h>
 
 #include <algorithm>
@@ -23,35 +23,38 @@
     if (notice.state <= entry.state)
         return false;
     entry.state = notice.state;
-    entry.told = 0;
+    entry.transmissions = 0;
     return true;
 }
 
 bool NoticeTable::makeRoom(Instant expiresAt)
 {
-    // Notices of one moment differ by what rounding took on their ways, and must not displace each other.
-    constexpr Duration sameMoment = std::chrono::seconds(3);
-    const auto endOf = [](const auto &entry) { return entry.second.expiresAt; };
-    const auto oldest = std::ranges::min_element(this->entries, {}, endOf);
-    if (oldest == this->entries.end() || expiresAt < oldest->second.expiresAt + sameMoment)
+    // Expiry times of notices of the same age differ by rounding on the way; such notices must not evict each
+    // other.
+    constexpr Duration roundingTolerance = std::chrono::seconds(3);
+    const auto expiryOf = [](const auto &entry) { return entry.second.expiresAt; };
+    const auto earliest = std::ranges::min_element(this->entries, {}, expiryOf);
+    if (earliest == this->entries.end() || expiresAt < earliest->second.expiresAt + roundingTolerance)
         return false;
-    this->entries.erase(oldest);
+    this->entries.erase(earliest);
     return true;
 }
 
-void NoticeTable::fill(Instant now, Datagram &datagram, std::size_t room, std::uint32_t tellLimit)
+void NoticeTable::fill(Instant now, Datagram &datagram, std::size_t maximumBytes,
+                       std::uint32_t transmissionLimit)
 {
     std::vector<std::map<Key, Entry>::iterator> candidates;
     for (auto entry = this->entries.begin(); entry != this->entries.end(); ++entry) {
-        if (entry->second.told < tellLimit)
+        if (entry->second.transmissions < transmissionLimit)
             candidates.push_back(entry);
     }
-    std::ranges::stable_sort(candidates,
-                             [](const auto &a, const auto &b) { return a->second.told < b->second.told; });
-    candidates.resize(std::min(candidates.size(), room / encodedNoticeSize));
+    std::ranges::stable_sort(candidates, [](const auto &a, const auto &b) {
+        return a->second.transmissions < b->second.transmissions;
+    });
+    candidates.resize(std::min(candidates.size(), maximumBytes / encodedNoticeSize));
     for (const auto &entry : candidates) {
-        ++entry->second.told;
-        datagram.notices.push_back(noticeOf(entry->first, entry->second, now));
+        ++entry->second.transmissions;
+        datagram.notices.push_back(makeNotice(entry->first, entry->second, now));
     }
 }
 
@@ -61,10 +64,11 @@
            > 0;
 }
 
-bool NoticeTable::hasNews(std::uint32_t tellLimit) const
+bool NoticeTable::hasPending(std::uint32_t transmissionLimit) const
 {
-    return std::ranges::any_of(this->entries,
-                               [tellLimit](const auto &entry) { return entry.second.told < tellLimit; });
+    return std::ranges::any_of(this->entries, [transmissionLimit](const auto &entry) {
+        return entry.second.transmissions < transmissionLimit;
+    });
 }
 
 std::vector<Notice> NoticeTable::list(Instant now) const
@@ -72,15 +76,15 @@
     std::vector<Notice> notices;
     notices.reserve(this->entries.size());
     for (const auto &[key, entry] : this->entries)
-        notices.push_back(noticeOf(key, entry, now));
+        notices.push_back(makeNotice(key, entry, now));
     return notices;
 }
 
-Notice NoticeTable::noticeOf(const Key &key, const Entry &entry, Instant now)
+Notice NoticeTable::makeNotice(const Key &key, const Entry &entry, Instant now)
 {
-    const auto left = std::chrono::duration_cast<std::chrono::seconds>(entry.expiresAt - now).count();
-    const auto life = std::clamp<std::int64_t>(left, 0, std::numeric_limits<std::uint16_t>::max());
-    return {key.first, key.second, entry.state, static_cast<std::uint16_t>(life)};
+    const auto remaining = std::chrono::duration_cast<std::chrono::seconds>(entry.expiresAt - now).count();
+    const auto timeToLive = std::clamp<std::int64_t>(remaining, 0, std::numeric_limits<std::uint16_t>::max());
+    return {key.first, key.second, entry.state, static_cast<std::uint16_t>(timeToLive)};
 }
 
 } // namespace Sagecrank
--- a/Libraries/LibMembership/NoticeTable.h
+++ b/Libraries/LibMembership/NoticeTable.h
@@ -1,6 +1,6 @@
-// Short-lived facts that are about no member and that every node should hold soon. They travel on the
-// datagrams of the gossip protocol. A board is a set that only grows until its entries expire: merging is
-// idempotent, and the order in which datagrams arrive does not matter.
+// Notices: short-lived facts, not about members, that are broadcast to every node on gossip datagrams.
+// Merging is idempotent and commutative until an entry expires, so datagrams may be lost, repeated or
+// reordered.
 #pragma once
 
 #include <LibCore/Time.h>
@@ -14,8 +14,8 @@
 
 namespace Sagecrank {
 
-// Beyond this a board drops the one that would end first for one that lives longer, so that a flood of them
-// costs a node some 100 KB at most and does not shut out what is told later.
+// When the table is full, a new notice evicts the one that expires first, provided that it expires later
+// itself. A flood thus costs a node about 100 KB at most and does not block later notices.
 inline constexpr std::size_t maximumNotices = 1024;
 
 class NoticeTable
@@ -23,34 +23,35 @@
 public:
     // Commands.
 
-    // Whether it said something new; then it is told on.
+    // Returns whether the notice was new or raised the state of a known one; it is then gossiped further.
     bool merge(Instant now, const Notice &notice);
-    // Puts those on the datagram that were told least often, up to `room` bytes, each at most `tellLimit`
-    // times.
-    void fill(Instant now, Datagram &datagram, std::size_t room, std::uint32_t tellLimit);
-    // Drops those whose life is over; whether there were any.
+    // Adds the notices with the fewest transmissions to the datagram, up to `maximumBytes`, and each at most
+    // `transmissionLimit` times in total.
+    void fill(Instant now, Datagram &datagram, std::size_t maximumBytes, std::uint32_t transmissionLimit);
+    // Removes expired notices. Returns whether there were any.
     bool expire(Instant now);
 
     // Queries.
 
-    bool hasNews(std::uint32_t tellLimit) const;
+    bool hasPending(std::uint32_t transmissionLimit) const;
     bool empty() const { return this->entries.empty(); }
-    std::vector<Notice> list(Instant now) const; // With the life that is left.
+    std::vector<Notice> list(Instant now) const; // With the remaining time to live.
 
 private:
     using Key = std::pair<std::uint64_t, std::uint64_t>; // Subject and source.
 
     struct Entry
     {
-        std::uint8_t state = 0; // Only ever rises.
-        // As first heard. Lives travel in whole seconds, rounded down: a node that hears of it late cannot
-        // keep the others' alive, and the shorter of two would fall by a part of a second at each telling.
+        std::uint8_t state = 0; // Never decreases.
+        // Set when the notice is first received and never changed. The time to live travels in whole seconds,
+        // rounded down: adopting a longer value would let nodes keep a notice alive for each other, and
+        // adopting a shorter one would wear it away by a fraction of a second per hop.
         Instant expiresAt;
-        std::uint32_t told = 0; // Datagrams since it last changed.
+        std::uint32_t transmissions = 0; // Since the state last changed.
     };
 
-    bool makeRoom(Instant expiresAt); // For one that ends then; false when all live as long.
-    static Notice noticeOf(const Key &key, const Entry &entry, Instant now);
+    bool makeRoom(Instant expiresAt); // For a notice that expires then; false if no entry expires earlier.
+    static Notice makeNotice(const Key &key, const Entry &entry, Instant now);
 
     std::map<Key, Entry> entries;
 };
--- a/Libraries/LibMembership/TokenBucket.h
+++ b/Libraries/LibMembership/TokenBucket.h
@@ -1,4 +1,4 @@
-// A budget of bytes a second with a bounded burst, and more than that to begin with.
+// A token bucket in bytes, with an optional larger initial burst.
 #pragma once
 
 #include <LibCore/Time.h>
@@ -11,10 +11,10 @@
 class TokenBucket
 {
 public:
-    TokenBucket(double bytesPerSecond, double burstBytes, double firstBytes = 0)
+    TokenBucket(double bytesPerSecond, double burstBytes, double initialBytes = 0)
         : rate(bytesPerSecond)
         , burst(burstBytes)
-        , tokens(std::max(burstBytes, firstBytes))
+        , tokens(std::max(burstBytes, initialBytes))
     {
     }
 
@@ -28,7 +28,7 @@
         this->last = now;
     }
 
-    // May go below zero: what must be sent, such as an acknowledgement, is sent and paid back later.
+    // May make the bucket negative: mandatory datagrams such as acknowledgements are sent and paid for later.
     void take(std::size_t bytes) { this->tokens -= static_cast<double>(bytes); }
 
     double available() const { return this->tokens; }
@@ -37,7 +37,7 @@
 private:
     double rate;
     double burst;
-    double tokens; // Above the burst only until what it began with is spent.
+    double tokens; // Above the burst only until the initial burst is spent.
     Instant last{};
 };
 
