--- a/Tests/LibMembership/FakeNetwork.h
+++ b/Tests/LibMembership/FakeNetwork.h
@@ -1,5 +1,5 @@
-// Many Membership instances joined by an in-memory network with delay, loss, cuts and pauses, in fake time.
-// Everything random comes from one seed, so a run repeats exactly.
+// Many Membership instances on an in-memory network with delay, loss, partitions and pauses, in simulated
+// time. All randomness comes from one seed, so runs are reproducible.
 #pragma once
 
 #include <LibMembership/Membership.h>
@@ -20,7 +20,7 @@
     std::string region;
     bool running = true;
     bool paused = false;
-    std::size_t events = 0; // Changes of members that it was told.
+    std::size_t memberChanges = 0; // Calls of its memberChanged hook.
 };
 
 class FakeNetwork
@@ -33,7 +33,7 @@
         std::size_t regions = 1;
         std::uint64_t seed = 1;
         double loss = 0;
-        bool seeded = true; // The first three nodes are everybody's seeds, and all run from the start.
+        bool seeded = true; // All nodes run from the start, and the first three are the seeds of all.
     };
 
     static constexpr Duration step = Milliseconds(50);
@@ -72,7 +72,7 @@
         hooks.send = [this, index](const std::string &to, const std::string &bytes) {
             this->send(index, to, bytes);
         };
-        hooks.memberChanged = [this, index](const Member &) { ++this->nodes[index].events; };
+        hooks.memberChanged = [this, index](const Member &) { ++this->nodes[index].memberChanges; };
         this->nodes[index].membership =
             std::make_unique<Membership>(this->settings, self, std::move(hooks), this->random());
         this->nodes[index].running = true;
@@ -85,7 +85,7 @@
             this->advance();
     }
 
-    // Runs until the condition holds; the time that it took, or the limit.
+    // Runs until the condition holds. Returns the time that took, or the limit.
     Duration runUntil(const std::function<bool()> &condition, Duration limit)
     {
         const Instant begin = this->now;
@@ -103,7 +103,7 @@
         return true;
     }
 
-    // Every running node counts exactly the running nodes as present.
+    // The present members of every running node are exactly the running nodes.
     bool converged() const
     {
         std::size_t running = 0;
@@ -128,11 +128,11 @@
     std::vector<std::string> zones;
     MembershipSettings settings;
     double loss;
-    // True when nothing passes from the first node to the second.
+    // Whether all packets from the first node to the second are dropped.
     std::function<bool(std::size_t from, std::size_t to)> cut;
     std::mt19937_64 random;
-    // Bytes that went from one zone to another, by DatagramKind; with the network's headers.
-    std::array<std::uint64_t, 8> crossed{};
+    // Bytes sent between zones, by DatagramKind; includes IP and UDP headers.
+    std::array<std::uint64_t, 8> crossZoneBytes{};
 
 private:
     struct Packet
@@ -153,7 +153,7 @@
     {
         const std::size_t to = std::stoul(address.substr(address.rfind(':') + 1)) - 10000;
         if (to < this->nodes.size() && this->zones[from] != this->zones[to])
-            this->crossed[static_cast<std::size_t>(decodeDatagram(bytes, "").value().kind)] +=
+            this->crossZoneBytes[static_cast<std::size_t>(decodeDatagram(bytes, "").value().kind)] +=
                 bytes.size() + datagramOverheadBytes;
         std::uniform_real_distribution<double> share(0, 1);
         if (to >= this->nodes.size() || share(this->random) < this->loss)
@@ -165,15 +165,15 @@
         this->packets.push({this->now + delay, ++this->order, from, to, bytes});
     }
 
-    // A paused node's packets wait in its socket's buffer and are read when it goes on.
+    // Packets to a paused node wait, as in its socket buffer, until it resumes.
     void deliver(const Packet &packet)
     {
         FakeNode &node = this->nodes[packet.to];
         if (!node.running)
             return;
         if (node.paused) {
-            if (this->held.size() < 256)
-                this->held.push_back(packet);
+            if (this->buffered.size() < 256)
+                this->buffered.push_back(packet);
             return;
         }
         node.membership->receive(packet.due, addressOf(packet.from), packet.bytes);
@@ -183,7 +183,7 @@
     {
         const Instant end = this->now + step;
         std::vector<Packet> waiting;
-        waiting.swap(this->held);
+        waiting.swap(this->buffered);
         for (const Packet &packet : waiting)
             this->deliver(packet);
         while (!this->packets.empty() && this->packets.top().due <= end) {
@@ -201,7 +201,7 @@
 
     std::uint64_t order = 0;
     std::priority_queue<Packet, std::vector<Packet>, std::greater<>> packets;
-    std::vector<Packet> held;
+    std::vector<Packet> buffered;
 };
 
 } // namespace Sagecrank::Testing
--- a/Tests/LibMembership/TestDatagram.cpp
+++ b/Tests/LibMembership/TestDatagram.cpp
@@ -1,4 +1,4 @@
-// Encoding of the gossip protocol: what goes out comes back, and what is damaged is refused.
+// Encoding of gossip datagrams: a round trip preserves them, and damaged ones are rejected.
 #include <LibMembership/Datagram.h>
 #include <LibMembership/Membership.h>
 
@@ -51,14 +51,14 @@
 
 struct TruncationRow
 {
-    std::size_t kept;
+    std::size_t keptBytes;
 };
 
 const TruncationRow truncationRows[] = {{0}, {1}, {2}, {20}, {60}, {100}, {200}};
 
 } // namespace
 
-Test(datagram, comesBackAsItWas)
+Test(datagram, roundTripPreservesAllFields)
 {
     const Datagram sent = exampleDatagram();
     const Result<Datagram> decoded = decodeDatagram(encodeDatagram(sent), "peer");
@@ -73,7 +73,7 @@
     cr_assert(received.updates == sent.updates && received.members == sent.members);
 }
 
-Test(datagram, sizesArePredictedExactly)
+Test(datagram, encodedSizesAreExact)
 {
     Datagram datagram;
     datagram.sender = "b2";
@@ -88,23 +88,23 @@
     cr_assert(encodeDatagram(datagram).size() == empty + encodedEntrySize);
 }
 
-TABLE_TEST(datagram, aTruncatedOneIsRefused, truncationRows)
+TABLE_TEST(datagram, rejectsTruncatedDatagrams, truncationRows)
 {
-    const std::string whole = encodeDatagram(exampleDatagram());
-    const Result<Datagram> decoded = decodeDatagram(std::string_view(whole).substr(0, row.kept), "peer");
+    const std::string encoded = encodeDatagram(exampleDatagram());
+    const Result<Datagram> decoded =
+        decodeDatagram(std::string_view(encoded).substr(0, row.keptBytes), "peer");
     cr_assert(!decoded.has_value());
     cr_assert(decoded.error().peer == "peer");
 }
 
-Test(datagram, anOversizedOneIsRefused)
+Test(datagram, rejectsOversizedDatagrams)
 {
     cr_assert(!decodeDatagram(std::string(maximumDatagramBytes + 1, '\1'), "peer").has_value());
 }
 
-// Damaged or hostile datagrams arrive at a node. Callers must notice nothing: each is read within its own
-// bounds or refused, and none may throw, crash or make the table unbounded. Under the sanitizers this also
-// finds reads past the end.
-Test(datagram, mutationsNeverBreakTheNode)
+// Guards against damaged and hostile datagrams that crash a node or make it throw: each must be decoded
+// within its bounds or rejected. With sanitizers enabled this also detects reads past the end.
+Test(datagram, survivesMutatedDatagrams)
 {
     std::mt19937_64 random(97);
     MembershipHooks hooks;
@@ -114,21 +114,21 @@
     Member self = exampleMember();
     self.id = "self";
     Membership membership({}, self, hooks, 1);
-    const std::string whole = encodeDatagram(exampleDatagram());
+    const std::string encoded = encodeDatagram(exampleDatagram());
     Instant now(std::chrono::hours(1));
-    std::size_t refused = 0;
+    std::size_t rejected = 0;
     for (int i = 0; i < 20000; ++i) {
-        std::string bytes = whole;
+        std::string bytes = encoded;
         for (std::uint64_t flips = 1 + random() % 8; flips > 0; --flips)
             bytes[random() % bytes.size()] = static_cast<char>(random());
         if (random() % 4 == 0)
             bytes.resize(random() % bytes.size());
-        refused += decodeDatagram(bytes, "peer").has_value() ? 0 : 1;
+        rejected += decodeDatagram(bytes, "peer").has_value() ? 0 : 1;
         membership.receive(now, "10.0.0.9:1", bytes);
         now += Milliseconds(1);
         if (i % 100 == 0)
             membership.tick(now);
     }
-    cr_assert(membership.counters().malformed == refused);
-    cr_assert(refused > 5000);
+    cr_assert(membership.counters().malformed == rejected);
+    cr_assert(rejected > 5000);
 }
--- a/Tests/LibMembership/TestIntroducerSchedule.cpp
+++ b/Tests/LibMembership/TestIntroducerSchedule.cpp
@@ -1,4 +1,5 @@
-// Nodes without seeds meet over rows of a shared table, whatever the order and the faults of their start.
+// Nodes without seeds find each other through introducer rows in a shared table, in any start order and with
+// faults during the start.
 #include "FakeNetwork.h"
 
 #include <LibMembership/IntroducerSchedule.h>
@@ -12,27 +13,27 @@
 
 namespace {
 
-constexpr Duration tableTakes = Milliseconds(4);
+constexpr Duration tableReadTime = Milliseconds(4);
 
-// The rows of all zones, and each node's rounds of writing and reading them.
-class MeetingFleet
+// A fleet with an in-memory introducer table, and the read and write rounds of each node.
+class IntroducerFleet
 {
 public:
-    MeetingFleet(FakeNetwork::Shape shape)
+    IntroducerFleet(FakeNetwork::Shape shape)
         : network(shape)
         , random(shape.seed * 7919 + 1)
     {
         for (std::size_t node = 0; node < shape.nodes; ++node)
-            this->rounds.emplace_back(pace);
+            this->rounds.emplace_back(timing);
         this->nextRound.resize(shape.nodes);
     }
 
     void start(std::size_t node, std::uint64_t incarnation)
     {
         this->network.start(node, incarnation);
-        this->rounds[node] = IntroducerSchedule(pace);
+        this->rounds[node] = IntroducerSchedule(timing);
         this->writtenAt.erase(node);
-        this->nextRound[node] = this->network.now + pace.initialDelay;
+        this->nextRound[node] = this->network.now + timing.initialDelay;
     }
 
     void stop(std::size_t node) { this->network.nodes[node].running = false; }
@@ -44,7 +45,7 @@
             this->advance();
     }
 
-    Duration untilMet(Duration limit)
+    Duration runUntilConverged(Duration limit)
     {
         const Instant begin = this->network.now;
         while (this->network.now - begin < limit && !this->network.converged())
@@ -55,28 +56,28 @@
     std::uint64_t draw(std::uint64_t below) { return this->random() % below; }
 
     FakeNetwork network;
-    bool tableAway = false;
-    std::uint64_t calls = 0; // Of the table.
+    bool tableUnavailable = false;
+    std::uint64_t tableCalls = 0;
 
 private:
-    static constexpr IntroducerTiming pace{Milliseconds(10), Milliseconds(60), Milliseconds(1500)};
+    static constexpr IntroducerTiming timing{Milliseconds(10), Milliseconds(60), Milliseconds(1500)};
 
     void advance()
     {
         this->network.run(FakeNetwork::step);
         for (std::size_t node = 0; node < this->rounds.size(); ++node) {
             if (this->network.running(node) && this->nextRound[node] <= this->network.now)
-                this->playRound(node);
+                this->runRound(node);
         }
     }
 
-    void playRound(std::size_t node)
+    void runRound(std::size_t node)
     {
         const Membership &own = *this->network.nodes[node].membership;
         const IntroducerRound round =
             this->rounds[node].next(own.members().presentCount() > 1, this->rankOf(node));
         this->nextRound[node] = this->network.now + round.pause * (70 + this->draw(60)) / 100;
-        if (this->tableAway)
+        if (this->tableUnavailable)
             return;
         if (round.write == IntroducerWrite::RankedRow)
             this->write(node, this->rankOf(node));
@@ -84,30 +85,30 @@
             this->read(node, round);
     }
 
-    void write(std::size_t node, std::uint64_t place)
+    void write(std::size_t node, std::uint64_t rank)
     {
-        // A row is renewed once in half of its life.
+        // A row is renewed after half of the renewal interval.
         if (this->writtenAt.contains(node)
             && this->network.now - this->writtenAt[node] < introducerRenewalInterval / 2)
             return;
         this->writtenAt[node] = this->network.now;
-        ++this->calls;
-        this->rows[this->network.zones[node]][place] = FakeNetwork::addressOf(node);
+        ++this->tableCalls;
+        this->rows[this->network.zones[node]][rank] = FakeNetwork::addressOf(node);
     }
 
     void read(std::size_t node, const IntroducerRound &round)
     {
-        ++this->calls;
+        ++this->tableCalls;
         std::vector<std::string> ownZone;
         std::vector<std::string> others;
         std::vector<std::uint64_t> free;
-        for (std::uint64_t place = 0; place < introducersPerZone; ++place) {
-            if (!this->rows[this->network.zones[node]].contains(place))
-                free.push_back(place);
+        for (std::uint64_t rank = 0; rank < introducersPerZone; ++rank) {
+            if (!this->rows[this->network.zones[node]].contains(rank))
+                free.push_back(rank);
         }
-        for (const auto &[zone, places] : this->rows) {
+        for (const auto &[zone, ranks] : this->rows) {
             std::vector<std::string> addresses;
-            for (const auto &[place, address] : places)
+            for (const auto &[rank, address] : ranks)
                 addresses.push_back(address);
             if (zone == this->network.zones[node])
                 ownZone = addresses;
@@ -120,14 +121,14 @@
             this->write(node, free[this->draw(free.size())]);
         else if (round.write == IntroducerWrite::AnyRow)
             this->write(node, this->draw(introducersPerZone));
-        this->found(node, ownZone, true);
+        this->addSeeds(node, ownZone, true);
         if (round.contactOtherZones)
-            this->found(node, others, false);
+            this->addSeeds(node, others, false);
     }
 
-    void found(std::size_t node, const std::vector<std::string> &addresses, bool ownZone)
+    void addSeeds(std::size_t node, const std::vector<std::string> &addresses, bool ownZone)
     {
-        this->network.nodes[node].membership->addSeeds(this->network.now + tableTakes, addresses, ownZone);
+        this->network.nodes[node].membership->addSeeds(this->network.now + tableReadTime, addresses, ownZone);
     }
 
     std::uint32_t rankOf(std::size_t node) const
@@ -141,8 +142,8 @@
 
     std::vector<IntroducerSchedule> rounds;
     std::vector<Instant> nextRound;
-    std::map<std::string, std::map<std::uint64_t, std::string>> rows; // By zone and place.
-    std::map<std::size_t, Instant> writtenAt;                         // Of each node's row.
+    std::map<std::string, std::map<std::uint64_t, std::string>> rows; // By zone and rank.
+    std::map<std::size_t, Instant> writtenAt;                         // By node.
     std::mt19937_64 random;
 };
 
@@ -157,62 +158,62 @@
     return shape;
 }
 
-// Each node starts within the span after the others.
-void startAll(MeetingFleet &fleet, Milliseconds span, std::uint64_t incarnation)
+// Starts every node at a random time within the span.
+void startAll(IntroducerFleet &fleet, Milliseconds span, std::uint64_t incarnation)
 {
     const std::size_t count = fleet.network.nodes.size();
-    std::vector<Instant> at;
+    std::vector<Instant> startAt;
     for (std::size_t node = 0; node < count; ++node)
-        at.push_back(fleet.network.now
-                     + Milliseconds(fleet.draw(static_cast<std::uint64_t>(span.count()) + 1)));
+        startAt.push_back(fleet.network.now
+                          + Milliseconds(fleet.draw(static_cast<std::uint64_t>(span.count()) + 1)));
     for (std::size_t started = 0; started < count;) {
         for (std::size_t node = 0; node < count; ++node) {
-            if (at[node] > fleet.network.now)
+            if (startAt[node] > fleet.network.now)
                 continue;
             fleet.start(node, incarnation);
-            at[node] = Instant::max();
+            startAt[node] = Instant::max();
             ++started;
         }
         fleet.run(FakeNetwork::step);
     }
 }
 
-enum class Trouble : std::uint8_t { None, Cut, TableAway, Restarts, Apart };
+enum class Fault : std::uint8_t { None, PartitionDuringStart, TableUnavailable, Restarts, LongPartition };
 
-struct MeetingRow
+struct FaultRow
 {
     const char *what;
-    Trouble trouble;
-    Duration limit; // From the end of the trouble until every node counts exactly those that run.
+    Fault fault;
+    Duration limit; // From the end of the fault until the network has converged.
 };
 
-// Two seconds, and after a cut what a suspicion that began in it may still last.
-const MeetingRow meetingRows[] = {
-    {"a start", Trouble::None, Milliseconds(2000)},
-    {"a cut through the start", Trouble::Cut, Milliseconds(2500)},
-    {"the table away at the start", Trouble::TableAway, Milliseconds(2500)},
-    {"all restart", Trouble::Restarts, Milliseconds(2000)},
-    {"two groups that started apart", Trouble::Apart, Milliseconds(2500)},
+// Two seconds, plus the rest of a suspicion that a partition may have caused.
+const FaultRow faultRows[] = {
+    {"a start", Fault::None, Milliseconds(2000)},
+    {"a partition during the start", Fault::PartitionDuringStart, Milliseconds(2500)},
+    {"the table unavailable during the start", Fault::TableUnavailable, Milliseconds(2500)},
+    {"all nodes restart", Fault::Restarts, Milliseconds(2000)},
+    {"two groups that started partitioned", Fault::LongPartition, Milliseconds(2500)},
 };
 
-void playTrouble(MeetingFleet &fleet, Trouble trouble)
+void runFault(IntroducerFleet &fleet, Fault fault)
 {
     const Milliseconds span(fleet.draw(400));
     const std::uint64_t side = fleet.draw(UINT64_MAX);
-    const auto apart = [side](std::size_t from, std::size_t to) {
+    const auto isCut = [side](std::size_t from, std::size_t to) {
         return ((side >> (from % 64)) & 1U) != ((side >> (to % 64)) & 1U);
     };
-    if (trouble == Trouble::Cut || trouble == Trouble::Apart)
-        fleet.network.cut = apart;
-    fleet.tableAway = trouble == Trouble::TableAway;
+    if (fault == Fault::PartitionDuringStart || fault == Fault::LongPartition)
+        fleet.network.cut = isCut;
+    fleet.tableUnavailable = fault == Fault::TableUnavailable;
     startAll(fleet, span, 1);
-    if (trouble == Trouble::TableAway || trouble == Trouble::Cut)
+    if (fault == Fault::TableUnavailable || fault == Fault::PartitionDuringStart)
         fleet.run(Milliseconds(fleet.draw(2000)));
-    if (trouble == Trouble::Apart)
+    if (fault == Fault::LongPartition)
         fleet.run(Milliseconds(8000));
     fleet.network.cut = nullptr;
-    fleet.tableAway = false;
-    if (trouble != Trouble::Restarts)
+    fleet.tableUnavailable = false;
+    if (fault != Fault::Restarts)
         return;
     fleet.run(std::chrono::seconds(2));
     for (std::size_t node = 0; node < fleet.network.nodes.size(); ++node)
@@ -223,22 +224,22 @@
 
 } // namespace
 
-// Nodes start in some order, lose datagrams, are cut off from each other or from the table, or all restart.
-// A group that has met is content with itself, and its callers find only its own upstreams, for a minute or
-// for the rest of the day, with no fault about. Groups that can reach each other must become one and stay so.
-TABLE_TEST(meeting, groupsThatCanReachEachOtherBecomeOne, meetingRows)
+// Guards against groups that stay apart after the fault that separated them has ended: the nodes of a group
+// that has formed stop searching, and their callers find only the upstreams of that group. Nodes start in
+// random order, lose datagrams, are cut off from each other or from the table, or all restart.
+TABLE_TEST(introducerSchedule, reachableGroupsMerge, faultRows)
 {
     Duration longest{};
     int late = 0;
     for (std::uint64_t seed = 1; seed <= 400; ++seed) {
-        MeetingFleet fleet(unseeded(seed));
-        playTrouble(fleet, row.trouble);
-        const Duration took = fleet.untilMet(std::chrono::seconds(20));
-        longest = std::max(longest, took);
-        if (took > row.limit) {
+        IntroducerFleet fleet(unseeded(seed));
+        runFault(fleet, row.fault);
+        const Duration elapsed = fleet.runUntilConverged(std::chrono::seconds(20));
+        longest = std::max(longest, elapsed);
+        if (elapsed > row.limit) {
             ++late;
             cr_log_warn("%s: seed %d took %d ms", row.what, static_cast<int>(seed),
-                        static_cast<int>(std::chrono::duration_cast<Milliseconds>(took).count()));
+                        static_cast<int>(std::chrono::duration_cast<Milliseconds>(elapsed).count()));
         }
     }
     cr_assert(late == 0, "%s: %d of 400 runs took too long, the longest %d ms", row.what, late,
@@ -255,7 +256,7 @@
 
 const LargeStartRow largeStartRows[] = {{12, 4}, {60, 3}, {120, 5}, {295, 5}};
 
-// Of the nodes that run, and of those of each node's own zone: the share that a node counts, on the average.
+// Average share of all nodes, and of the nodes of its own zone, that a node counts as present.
 struct KnownShares
 {
     double all = 0;
@@ -277,22 +278,23 @@
 
 } // namespace
 
-// A fleet that starts at once knows its own zone and then the others too late, and calls go to the few
-// upstreams that are known; or its nodes ask the table so often that it turns them away.
-TABLE_TEST(meeting, aFleetThatStartsKnowsItselfSoon, largeStartRows)
+// Guards against slow discovery when a whole fleet starts at once, which sends all calls to the few known
+// upstreams, and against so many table calls that the table throttles them.
+TABLE_TEST(introducerSchedule, startingFleetDiscoversItselfQuickly, largeStartRows)
 {
-    constexpr double nearlyAll = 0.95;
-    constexpr std::uint64_t callsANode = 4;
+    constexpr double minimumShare = 0.95;
+    constexpr std::uint64_t maximumCallsPerNode = 4;
     FakeNetwork::Shape shape;
     shape.seeded = false;
     shape.seed = 1;
     shape.nodes = row.nodes;
     shape.zones = row.zones;
-    MeetingFleet fleet(shape);
+    IntroducerFleet fleet(shape);
     startAll(fleet, Milliseconds(300), 1);
     fleet.run(Milliseconds(1000));
-    cr_assert(knownShares(fleet.network, row).zone >= nearlyAll, "%d nodes", static_cast<int>(row.nodes));
+    cr_assert(knownShares(fleet.network, row).zone >= minimumShare, "%d nodes", static_cast<int>(row.nodes));
     fleet.run(Milliseconds(1500));
-    cr_assert(knownShares(fleet.network, row).all >= nearlyAll, "%d nodes", static_cast<int>(row.nodes));
-    cr_assert(fleet.calls <= callsANode * row.nodes, "%d calls", static_cast<int>(fleet.calls));
+    cr_assert(knownShares(fleet.network, row).all >= minimumShare, "%d nodes", static_cast<int>(row.nodes));
+    cr_assert(fleet.tableCalls <= maximumCallsPerNode * row.nodes, "%d calls",
+              static_cast<int>(fleet.tableCalls));
 }
--- a/Tests/LibMembership/TestMembership.cpp
+++ b/Tests/LibMembership/TestMembership.cpp
@@ -1,4 +1,4 @@
-// The gossip state machine among many nodes on a fake network: who sees whom, and when.
+// The gossip state machine of many nodes on a simulated network: convergence, failure detection and traffic.
 #include "FakeNetwork.h"
 
 #include <Support/TableTest.h>
@@ -24,7 +24,7 @@
 struct GrowthRow
 {
     std::size_t nodes;
-    double mostBytes; // Between zones, for each node.
+    double maximumBytes; // Between zones, for each node.
 };
 
 const GrowthRow growthRows[] = {{30, 25'000}, {90, 35'000}, {180, 40'000}};
@@ -47,44 +47,44 @@
 
 } // namespace
 
-TABLE_TEST(membership, everyNodeSeesEveryNode, shapeRows)
+TABLE_TEST(membership, allNodesConverge, shapeRows)
 {
     FakeNetwork network({row.nodes, row.zones, 1, 7, row.loss});
-    const Duration took = network.runUntil([&] { return network.converged(); }, seconds(60));
-    cr_assert(took < seconds(30), "%zu nodes took longer than 30 s", row.nodes);
+    const Duration elapsed = network.runUntil([&] { return network.converged(); }, seconds(60));
+    cr_assert(elapsed < seconds(30), "%zu nodes took longer than 30 s", row.nodes);
 }
 
-// A drain is announced by one node. Its callers on other nodes keep choosing it until they hear of it, so
-// every node, in every zone, must hear within seconds, also when one datagram in ten is lost.
-TABLE_TEST(membership, aDrainIsSeenEverywhereWithinSeconds, shapeRows)
+// Callers on other nodes keep choosing a draining upstream until their node learns of the drain. Every node
+// in every zone must learn of it within seconds, even if one datagram in ten is lost.
+TABLE_TEST(membership, drainReachesAllNodesWithinSeconds, shapeRows)
 {
     FakeNetwork network({row.nodes, row.zones, 1, 11, row.loss});
     network.runUntil([&] { return network.converged(); }, seconds(60));
     network.nodes[0].membership->setUpstream(network.now, "booking", UpstreamState::Ready, 6);
     network.run(seconds(20));
     network.nodes[0].membership->setUpstream(network.now, "booking", UpstreamState::Draining, 6);
-    const auto seen = [&] {
+    const auto reached = [&] {
         return network.allRunning(
             [](const Membership &m) { return seesUpstream(m, 0, UpstreamState::Draining); });
     };
-    const Duration took = network.runUntil(seen, seconds(30));
-    cr_assert(took <= seconds(4), "the drain took longer than 4 s");
+    const Duration elapsed = network.runUntil(reached, seconds(30));
+    cr_assert(elapsed <= seconds(4), "the drain took longer than 4 s");
 }
 
-// A process dies without a word. Callers go on choosing its upstream until the mesh holds it for dead: first
-// its probes go unanswered, then those through others, then the suspicion runs out unrefuted.
-TABLE_TEST(membership, aSilentDeathIsSeenEverywhere, shapeRows)
+// When a process crashes, callers keep choosing its upstream until direct and indirect probes have failed and
+// the suspicion has expired.
+TABLE_TEST(membership, crashIsDetectedByAllNodes, shapeRows)
 {
     FakeNetwork network({row.nodes, row.zones, 1, 13, row.loss});
     network.runUntil([&] { return network.converged(); }, seconds(60));
     network.nodes[row.nodes - 1].running = false;
-    const Duration took = network.runUntil([&] { return network.converged(); }, minutes(3));
-    cr_assert(took < seconds(60), "the death was not seen within 60 s");
+    const Duration elapsed = network.runUntil([&] { return network.converged(); }, minutes(3));
+    cr_assert(elapsed < seconds(60), "the crash was not detected within 60 s");
 }
 
-// One datagram in ten is lost for ten minutes and nobody dies. A node that is falsely held for dead would
-// lose its callers for no reason: indirect probes and refutation must keep every one in.
-TABLE_TEST(membership, lossAloneKillsNobody, lossSeeds)
+// Guards against false deaths, which take an upstream out of service for no reason: with one datagram in ten
+// lost for ten minutes, indirect probes and refutations must keep every node alive.
+TABLE_TEST(membership, packetLossCausesNoFalseDeaths, lossSeeds)
 {
     FakeNetwork network({40, 4, 2, row, 0.1});
     network.runUntil([&] { return network.converged(); }, seconds(60));
@@ -92,10 +92,10 @@
     cr_assert(deaths(network) == 0, "%lu false deaths", static_cast<unsigned long>(deaths(network)));
 }
 
-// A process is frozen for a minute, the others hold it for dead, and it wakes with suspicions and probes that
-// all lapsed while it slept. It must not bring dead members back or declare living ones dead, and its own
-// callers must find it again: it hears what is said of it, refutes that and learns the rest anew.
-Test(membership, aPausedNodeCannotUndoNewerState)
+// A process frozen for a minute is declared dead and resumes with probes and suspicions that have all timed
+// out. It must neither revive dead members nor declare live ones dead, and it must refute its own death and
+// sync, so that callers find it again.
+Test(membership, resumedNodeDoesNotRevertNewerState)
 {
     FakeNetwork network({20, 4, 1, 19, 0});
     network.runUntil([&] { return network.converged(); }, seconds(60));
@@ -111,20 +111,20 @@
 
     const std::uint64_t before = deaths(network);
     network.nodes[5].paused = false;
-    const Duration took = network.runUntil([&] { return network.converged(); }, seconds(60));
-    cr_assert(took < seconds(30), "the woken node is not back after 30 s");
+    const Duration elapsed = network.runUntil([&] { return network.converged(); }, seconds(60));
+    cr_assert(elapsed < seconds(30), "the resumed node did not rejoin within 30 s");
     network.run(seconds(10));
     cr_assert(
         network.allRunning([](const Membership &m) { return seesUpstream(m, 4, UpstreamState::Draining); }));
-    cr_assert(deaths(network) == before, "the woken node declared living nodes dead");
+    cr_assert(deaths(network) == before, "the resumed node declared live nodes dead");
     cr_assert(network.nodes[5].membership->counters().refutations > 0);
     cr_assert(network.nodes[5].membership->counters().pauses == 1);
 }
 
-// Two regions lose each other for an hour and hold each other for dead. When the link is back, neither may
-// empty its view of its own members because the other side says that they died, and both must be whole again
-// within minutes without anyone's help.
-Test(membership, regionsThatLostEachOtherHeal)
+// Two regions are partitioned for an hour and consider each other dead. When the partition heals, neither may
+// drop its own members because of the other side's death reports, and both must converge without
+// intervention.
+Test(membership, partitionedRegionsHeal)
 {
     FakeNetwork network({24, 6, 2, 23, 0});
     network.runUntil([&] { return network.converged(); }, seconds(60));
@@ -134,20 +134,20 @@
     network.run(minutes(60));
     cr_assert(network.allRunning([](const Membership &m) { return m.members().presentCount() == 12; }));
     network.cut = nullptr;
-    std::size_t fewest = 24;
+    std::size_t minimumPresent = 24;
     const auto healed = [&] {
         for (const auto &node : network.nodes)
-            fewest = std::min(fewest, node.membership->members().presentCount());
+            minimumPresent = std::min(minimumPresent, node.membership->members().presentCount());
         return network.converged();
     };
-    const Duration took = network.runUntil(healed, minutes(5));
-    cr_assert(took < minutes(1), "the halves are not one after a minute");
-    cr_assert(fewest >= 12, "a node's view fell to %zu members while healing", fewest);
+    const Duration elapsed = network.runUntil(healed, minutes(5));
+    cr_assert(elapsed < minutes(1), "the regions did not converge within a minute");
+    cr_assert(minimumPresent >= 12, "a node's view fell to %zu members while healing", minimumPresent);
 }
 
-// A zone dies as one and comes back as one with new processes. The survivors must see both, and no node may
-// send more than its budget while a third of the mesh changes at once.
-Test(membership, aLostZoneReturnsWithinTheBudget)
+// All nodes of a zone crash and later restart together. The other zones must detect both, and no node may
+// exceed its bandwidth budget while a third of the mesh changes at once.
+Test(membership, zoneFailureAndReturnStayWithinBudget)
 {
     MembershipSettings settings;
     FakeNetwork network({90, 3, 1, 29, 0}, settings);
@@ -179,10 +179,10 @@
     }
 }
 
-// Bytes between zones are dear, and a mesh that grows has more to tell: each node tells its news into other
-// zones, asks there for its first view and compares tables there. If every node did so as often as in a small
-// zone, the bytes would grow with the square of the nodes.
-TABLE_TEST(membership, bytesBetweenZonesGrowWithTheNewsOnly, growthRows)
+// Traffic between zones is expensive. It must grow with the number of changes: if every node of a large zone
+// gossiped, probed and synced across zones as often as in a small zone, it would grow with the square of the
+// nodes.
+TABLE_TEST(membership, crossZoneTrafficGrowsLinearly, growthRows)
 {
     FakeNetwork network({row.nodes, 3, 1, 31, 0});
     network.runUntil([&] { return network.converged(); }, seconds(60));
@@ -192,16 +192,16 @@
         network.start(i, 1000);
     }
     cr_assert(network.runUntil([&] { return network.converged(); }, minutes(1)) < seconds(40));
-    std::uint64_t all = 0;
-    for (const std::uint64_t bytes : network.crossed)
-        all += bytes;
-    const double each = static_cast<double>(all) / static_cast<double>(row.nodes);
-    cr_assert(each <= row.mostBytes, "%f bytes between zones for each node", each);
+    std::uint64_t total = 0;
+    for (const std::uint64_t bytes : network.crossZoneBytes)
+        total += bytes;
+    const double bytesPerNode = static_cast<double>(total) / static_cast<double>(row.nodes);
+    cr_assert(bytesPerNode <= row.maximumBytes, "%f bytes between zones for each node", bytesPerNode);
 }
 
-// A restart on a host whose wall clock was set back claims a lower incarnation than the mesh remembers. The
-// mesh would ignore all it says; it must hear of the higher one and rise above it.
-Test(membership, aRestartWithALowerIncarnationIsTakenBack)
+// A node that restarts after its wall clock was set back has a lower incarnation than the mesh remembers, so
+// its changes are ignored. It must learn of the higher incarnation and exceed it.
+Test(membership, restartWithLowerIncarnationRecovers)
 {
     FakeNetwork network({10, 2, 1, 31, 0});
     network.runUntil([&] { return network.converged(); }, seconds(60));
@@ -209,16 +209,15 @@
     network.run(seconds(30));
     network.start(7, 0);
     network.nodes[7].membership->setUpstream(network.now, "entry", UpstreamState::Ready, 6);
-    const auto seen = [&] {
+    const auto reached = [&] {
         return network.allRunning(
             [](const Membership &m) { return seesUpstream(m, 7, UpstreamState::Ready); });
     };
-    cr_assert(network.runUntil(seen, minutes(1)) < seconds(30));
+    cr_assert(network.runUntil(reached, minutes(1)) < seconds(30));
 }
 
-// A node says goodbye and ends. Nobody may take that for a death that needs suspicion, and it must be out of
-// every view within seconds.
-Test(membership, aGoodbyeIsSeenWithoutSuspicion)
+// A node that leaves must be removed from every view within seconds, without suspicion or a death report.
+Test(membership, leaveReachesAllNodesWithoutSuspicion)
 {
     FakeNetwork network({30, 3, 1, 37, 0});
     network.runUntil([&] { return network.converged(); }, seconds(60));
@@ -230,7 +229,7 @@
     cr_assert(deaths(network) == 0);
 }
 
-Test(membership, theDeadAreForgotten)
+Test(membership, tombstonesExpire)
 {
     FakeNetwork network({6, 1, 1, 41, 0});
     network.runUntil([&] { return network.converged(); }, seconds(60));
@@ -241,43 +240,43 @@
     cr_assert(network.allRunning([](const Membership &m) { return m.members().size() == 5; }));
 }
 
-Test(membership, theHighestConfigurationMarkReachesAll)
+Test(membership, highestConfigurationVersionReachesAllNodes)
 {
     FakeNetwork network({40, 4, 2, 43, 0});
     network.runUntil([&] { return network.converged(); }, seconds(60));
     network.nodes[3].membership->setConfiguration(9, {9, 1, 2});
-    const auto seen = [&] {
+    const auto reached = [&] {
         return network.allRunning([](const Membership &m) {
             return m.head() == ConfigurationVersion{9, 1, 2};
         });
     };
-    cr_assert(network.runUntil(seen, minutes(1)) <= seconds(4));
+    cr_assert(network.runUntil(reached, minutes(1)) <= seconds(4));
     network.nodes[3].membership->setConfiguration(8, {8, 3, 4});
     network.run(seconds(5));
-    cr_assert(seen(), "a lower mark replaced a higher one");
+    cr_assert(reached(), "a lower version replaced a higher one");
 }
 
-// The store comes back from an older copy, and one node has noticed. Each of the others may have lost what it
-// wrote there, and does not ask the store by itself for a minute.
-Test(membership, aReturnOfTheStoreReachesAll)
+// When the store is restored from an older copy, nodes may have lost rows there and would not notice for up
+// to a minute. The node that notices first must inform all others.
+Test(membership, storeEraChangeReachesAllNodes)
 {
     FakeNetwork network({40, 4, 2, 43, 0});
     network.runUntil([&] { return network.converged(); }, seconds(60));
     for (const auto &node : network.nodes)
         node.membership->noteStoreEra(5);
     network.nodes[3].membership->noteStoreEra(7);
-    const auto seen = [&] {
+    const auto reached = [&] {
         return network.allRunning([](const Membership &m) { return m.highestStoreEra() == 7; });
     };
-    cr_assert(network.runUntil(seen, minutes(1)) <= seconds(4));
+    cr_assert(network.runUntil(reached, minutes(1)) <= seconds(4));
     network.nodes[3].membership->noteStoreEra(6);
     network.run(seconds(5));
-    cr_assert(seen(), "a lower era replaced a higher one");
+    cr_assert(reached(), "a lower era replaced a higher one");
 }
 
-// A fleet starts, and each node learns the era from its own first call. To tell that to all others would cost
-// datagrams at the moment at which they are needed most.
-Test(membership, theFirstEraIsNotToldOnItsOwn)
+// At a fleet start each node reads the store era itself. Gossiping it would cost datagrams when they are
+// needed most.
+Test(membership, initialStoreEraCausesNoGossip)
 {
     const auto sentBytes = [](std::uint64_t era) {
         FakeNetwork network({40, 4, 2, 43, 0});
@@ -297,10 +296,9 @@
     cr_assert(sentBytes(3) == sentBytes(0));
 }
 
-// A change has to be in force everywhere soon, and each step of its way through a zone adds its wait to the
-// whole: whoever hears of a version, or comes to hold it, says so in the next tick and not in its next
-// regular round.
-Test(membership, aNewVersionIsHeardOfWithinASecond)
+// Each hop adds its delay to the time until a new version is in force everywhere. A node that learns of a
+// version, or comes to hold one, must gossip it in the next tick instead of its next regular round.
+Test(membership, newVersionSpreadsWithinASecond)
 {
     FakeNetwork network({90, 3, 1, 47, 0});
     network.runUntil([&] { return network.converged(); }, minutes(1));
@@ -309,19 +307,18 @@
     for (std::uint64_t version = 1; version <= 20; ++version) {
         for (std::size_t reader = 0; reader < 3; ++reader)
             network.nodes[reader].membership->setConfiguration(version, {version, 1, 2});
-        const auto heard = [&] {
+        const auto reached = [&] {
             return network.allRunning([&](const Membership &m) { return m.head().version == version; });
         };
-        const Duration took = network.runUntil(heard, seconds(10));
-        sum += std::chrono::duration<double>(took).count();
+        const Duration elapsed = network.runUntil(reached, seconds(10));
+        sum += std::chrono::duration<double>(elapsed).count();
         network.run(seconds(5));
     }
     cr_assert(sum / 20 <= 0.6, "%f s on average", sum / 20);
 }
 
-// All other hosts are gone when a node starts, and its seeds answer nobody. Its callers need it all the more;
-// it must not wait for peers for ever, but also not take the first silence for being alone.
-Test(membership, aNodeWhoseSeedsAreAllDeadGoesOnAlone)
+// A node whose seeds are all down must start to serve after a while, but must not give up on them at once.
+Test(membership, nodeWithUnreachableSeedsServesAlone)
 {
     FakeNetwork network({3, 1, 1, 47, 0});
     network.nodes[1].running = false;
--- a/Tests/LibMembership/TestNotices.cpp
+++ b/Tests/LibMembership/TestNotices.cpp
@@ -1,4 +1,4 @@
-// Notices that every node is to hold: how they reach all of them, and how they end.
+// Broadcast and expiry of notices.
 #include "FakeNetwork.h"
 
 #include <Support/TableTest.h>
@@ -18,7 +18,7 @@
     std::size_t nodes;
     std::size_t zones;
     double loss;
-    double mostSeconds;
+    double maximumSeconds;
 };
 
 const SpreadRow spreadRows[] = {{2, 1, 0, 1}, {8, 3, 0.1, 2}, {92, 3, 0.05, 2}, {295, 5, 0.01, 3}};
@@ -32,35 +32,35 @@
 
 } // namespace
 
-// One node's word must be held by all within the time in which a request may come back to any of them.
+// A notice must reach every node before a retried request can.
 TABLE_TEST(notices, reachEveryNode, spreadRows)
 {
     FakeNetwork network({row.nodes, row.zones, 1, 5, row.loss});
     network.run(seconds(15));
     network.nodes[0].membership->announce(network.now, {7, 1, 0, 600});
-    const Duration took = network.runUntil(
+    const Duration elapsed = network.runUntil(
         [&] { return network.allRunning([](const Membership &m) { return holds(m, 7, 0); }); }, seconds(20));
-    cr_assert(std::chrono::duration<double>(took).count() <= row.mostSeconds, "%zu nodes", row.nodes);
+    cr_assert(std::chrono::duration<double>(elapsed).count() <= row.maximumSeconds, "%zu nodes", row.nodes);
     network.nodes[row.nodes - 1].membership->announce(network.now, {7, 1, 1, 600});
     network.run(seconds(3));
     cr_assert(network.allRunning([](const Membership &m) { return holds(m, 7, 1) && !holds(m, 7, 0); }));
 }
 
-// A node that starts again has forgotten all of them.
-Test(notices, reachANodeThatStartsLater)
+// A restarted node has lost all notices and must get them from its peers.
+Test(notices, reachARestartedNode)
 {
     FakeNetwork network({8, 3, 1, 5, 0});
     network.run(seconds(5));
     network.nodes[0].membership->announce(network.now, {7, 1, 0, 600});
     network.run(seconds(20));
     network.start(5, 2);
-    const Duration took =
+    const Duration elapsed =
         network.runUntil([&] { return holds(*network.nodes[5].membership, 7, 0); }, seconds(20));
-    cr_assert(took <= seconds(1));
+    cr_assert(elapsed <= seconds(1));
 }
 
-// Nodes that hear of a notice late must not keep each other's alive.
-Test(notices, endEverywhereWhenTheirLifeIsOver)
+// Nodes that receive a notice late must not prolong it for each other.
+Test(notices, expireOnAllNodes)
 {
     FakeNetwork network({30, 3, 1, 5, 0.1});
     network.run(seconds(10));
@@ -71,8 +71,8 @@
     cr_assert(network.allRunning([](const Membership &m) { return m.notices().empty(); }));
 }
 
-// Nodes that tell each other of it all the time must not wear its life away.
-TABLE_TEST(notices, liveAsLongAsTheySay, spreadRows)
+// Repeated gossip of a notice must not shorten its time to live by rounding.
+TABLE_TEST(notices, keepTheirTimeToLive, spreadRows)
 {
     FakeNetwork network({row.nodes, row.zones, 1, 5, row.loss});
     network.run(seconds(15));
@@ -86,42 +86,43 @@
     cr_assert(shortest >= 530, "%zu nodes: %u s of 540 are left", row.nodes, unsigned{shortest});
 }
 
-// A flood of them must not fill a node's memory.
-Test(noticeBoard, isBounded)
+// A flood of notices must not exhaust a node's memory.
+Test(noticeTable, sizeIsBounded)
 {
-    NoticeTable board;
+    NoticeTable table;
     for (std::uint64_t subject = 0; subject < 10 * maximumNotices; ++subject)
-        board.merge(start, {subject, 1, 0, 600});
-    cr_assert(board.list(start).size() == maximumNotices);
+        table.merge(start, {subject, 1, 0, 600});
+    cr_assert(table.list(start).size() == maximumNotices);
 }
 
-// After a mass crash the next request that crashes upstreams must still be told of.
-Test(noticeBoard, aFloodDoesNotShutOutLaterNotices)
+// After many requests have crashed upstreams, the notice about a further one must still be stored.
+Test(noticeTable, floodDoesNotBlockLaterNotices)
 {
-    NoticeTable board;
+    NoticeTable table;
     for (std::uint64_t subject = 0; subject < 10 * maximumNotices; ++subject)
-        board.merge(start, {subject, 1, 0, 600});
+        table.merge(start, {subject, 1, 0, 600});
     const Instant later = start + seconds(10);
-    const std::uint64_t last = 10 * maximumNotices;
-    cr_assert(!board.merge(start + seconds(1), {last, 1, 0, 600}), "of the same moment");
-    cr_assert(board.merge(later, {last, 1, 0, 600}));
-    cr_assert(!board.merge(later, {last - 1, 1, 0, 590}), "a displaced one does not come back");
-    const std::vector<Notice> held = board.list(later);
+    const std::uint64_t lastSubject = 10 * maximumNotices;
+    cr_assert(!table.merge(start + seconds(1), {lastSubject, 1, 0, 600}),
+              "a notice of the same age evicted another");
+    cr_assert(table.merge(later, {lastSubject, 1, 0, 600}));
+    cr_assert(!table.merge(later, {lastSubject - 1, 1, 0, 590}), "an evicted notice was stored again");
+    const std::vector<Notice> held = table.list(later);
     cr_assert(held.size() == maximumNotices);
-    cr_assert(std::ranges::find(held, Notice{last, 1, 0, 600}) != held.end());
+    cr_assert(std::ranges::find(held, Notice{lastSubject, 1, 0, 600}) != held.end());
 }
 
-// Datagrams arrive late, twice and in any order.
-Test(noticeBoard, keepsTheHigherStateAndTheLifeFirstHeard)
+// Datagrams may arrive late, repeated and reordered.
+Test(noticeTable, mergeKeepsHighestStateAndFirstExpiry)
 {
-    NoticeTable board;
-    cr_assert(board.merge(start, {7, 1, 1, 60}));
-    cr_assert(!board.merge(start, {7, 1, 0, 600}));
-    cr_assert(!board.merge(start, {7, 1, 1, 30}));
-    cr_assert(board.merge(start, {7, 1, 2, 600}));
-    cr_assert(board.list(start) == std::vector<Notice>({{7, 1, 2, 60}}));
-    cr_assert(!board.merge(start, {8, 1, 0, 0}), "its life is over");
-    cr_assert(!board.expire(start + seconds(59)));
-    cr_assert(board.expire(start + seconds(60)));
-    cr_assert(board.empty());
+    NoticeTable table;
+    cr_assert(table.merge(start, {7, 1, 1, 60}));
+    cr_assert(!table.merge(start, {7, 1, 0, 600}));
+    cr_assert(!table.merge(start, {7, 1, 1, 30}));
+    cr_assert(table.merge(start, {7, 1, 2, 600}));
+    cr_assert(table.list(start) == std::vector<Notice>({{7, 1, 2, 60}}));
+    cr_assert(!table.merge(start, {8, 1, 0, 0}), "an expired notice was stored");
+    cr_assert(!table.expire(start + seconds(59)));
+    cr_assert(table.expire(start + seconds(60)));
+    cr_assert(table.empty());
 }
