--- a/Libraries/LibSpread/HeadPoll.cpp
+++ b/Libraries/LibSpread/HeadPoll.cpp
@@ -25,7 +25,7 @@
 
 void HeadPoll::start(Instant now, bool hasView)
 {
-    const Duration spread = hasView ? this->settings.firstSpread : this->settings.blindSpread;
+    const Duration spread = hasView ? this->settings.initialSpread : this->settings.initialSpreadWithoutPeers;
     this->nextAt = now + this->jittered(spread / 2, 1.0);
 }
 
@@ -37,7 +37,7 @@
     this->wasFast = this->isFast(self);
     step.overdue = this->markOverdue(now);
     step.begin = this->makeRead(self);
-    const Instant dueAt = now + step.begin->hold + this->settings.answerTime;
+    const Instant dueAt = now + step.begin->hold + this->settings.responseTimeout;
     if (this->open.size() >= maximumOpen)
         this->open.erase(this->open.begin());
     this->open.push_back({step.begin->number, now, dueAt, false});
@@ -77,8 +77,8 @@
     HeadRead read;
     read.number = ++this->lastNumber;
     read.isRetry = this->failures != 0 || !this->open.empty();
-    read.waits = this->isFast(self);
-    if (read.waits && !read.isRetry) {
+    read.longPoll = this->isFast(self);
+    if (read.longPoll && !read.isRetry) {
         read.hold = this->holdOf(self);
         this->staggers = false;
     }
@@ -128,8 +128,8 @@
 
 Duration HeadPoll::retryPause(const HeadPoller &self)
 {
-    return this->jittered(self.knowsPeers ? this->settings.retryInterval : this->settings.lonelyRetryInterval,
-                          retrySpread);
+    return this->jittered(
+        self.knowsPeers ? this->settings.retryInterval : this->settings.isolatedRetryInterval, retrySpread);
 }
 
 Duration HeadPoll::jittered(Duration interval, double spread)
--- a/Libraries/LibSpread/HeadPoll.h
+++ b/Libraries/LibSpread/HeadPoll.h
@@ -30,14 +30,14 @@
     Duration slowInterval = std::chrono::seconds(60);
     Duration hold{}; // How long a fast poller's read waits for news at the source; zero: it cannot wait.
     // What a source that lives may take beyond the hold.
-    Duration answerTime = Milliseconds(500);
+    Duration responseTimeout = Milliseconds(500);
     // From read to read of a fast poller while the source does not answer.
     Duration retryInterval = Milliseconds(1000);
     // The same for a node that knows no peers, so that it cannot know whether it is one of few.
-    Duration lonelyRetryInterval = std::chrono::seconds(8);
+    Duration isolatedRetryInterval = std::chrono::seconds(8);
     // The first read of a node that has heard of no peers: a whole fleet that starts at once spreads over it.
-    Duration blindSpread = std::chrono::seconds(8);
-    Duration firstSpread = Milliseconds(1000);
+    Duration initialSpreadWithoutPeers = std::chrono::seconds(8);
+    Duration initialSpread = Milliseconds(1000);
 };
 
 // What a node knows of its own place when it decides.
@@ -50,7 +50,7 @@
 struct HeadRead
 {
     std::uint64_t number = 0;
-    bool waits = false; // For news, for as long as the hold.
+    bool longPoll = false; // For news, for as long as the hold.
     Duration hold{};
     // Made because the source is in doubt: a connection that was kept may be silent for good.
     bool isRetry = false;
@@ -88,7 +88,7 @@
     // Queries.
     bool isFast(const HeadPoller &self) const { return self.rank < this->settings.fastPollersPerZone; }
     Instant wakeAt() const { return this->nextAt; } // When next() has something to do.
-    std::uint32_t failuresInRow() const { return this->failures; }
+    std::uint32_t consecutiveFailures() const { return this->failures; }
 
 private:
     struct OpenRead
--- a/Libraries/LibSpread/PullAdmission.h
+++ b/Libraries/LibSpread/PullAdmission.h
@@ -41,8 +41,8 @@
     }
 
     // Queries.
-    std::uint32_t servingNow() const { return this->serving; }
-    std::uint64_t turnedAwayCount() const { return this->turnedAway; }
+    std::uint32_t activeCount() const { return this->serving; }
+    std::uint64_t rejectedCount() const { return this->turnedAway; }
 
 private:
     std::uint32_t limit;
--- a/Libraries/LibSpread/PullMessages.h
+++ b/Libraries/LibSpread/PullMessages.h
@@ -31,14 +31,14 @@
 };
 
 enum class PullAnswer : std::uint8_t {
-    Whole,   // The payload is the whole of the site.
+    Full,    // The payload is the whole of the site.
     Delta,   // The payload is what changed since the base version.
     Missing, // This node does not hold the version, or another site's.
     Busy,    // Come back after retryAfterMilliseconds.
 };
 
 inline constexpr EnumNames<PullAnswer, 4> pullAnswerNames{{
-    {PullAnswer::Whole, "whole"},
+    {PullAnswer::Full, "whole"},
     {PullAnswer::Delta, "delta"},
     {PullAnswer::Missing, "missing"},
     {PullAnswer::Busy, "busy"},
--- a/Libraries/LibSpread/PullPlan.cpp
+++ b/Libraries/LibSpread/PullPlan.cpp
@@ -20,7 +20,7 @@
 {
 }
 
-void PullPlan::want(const ConfigurationVersion &mark, Instant now)
+void PullPlan::setTarget(const ConfigurationVersion &mark, Instant now)
 {
     if (mark.version <= std::max(this->target.version, this->deferred.version))
         return;
@@ -45,18 +45,18 @@
         this->notBefore = now;
         this->open.clear(); // What they would bring is at hand.
     }
-    this->want(mark, now);
+    this->setTarget(mark, now);
 }
 
-void PullPlan::settleFor(const ConfigurationVersion &mark, Instant now)
+void PullPlan::setInterimTarget(const ConfigurationVersion &mark, Instant now)
 {
-    if (mark.version == 0 || this->inFlight())
+    if (mark.version == 0 || this->hasOpenPulls())
         return;
     if (mark.version >= this->target.version)
-        return this->want(mark, now);
+        return this->setTarget(mark, now);
     const ConfigurationVersion newer = this->target;
     this->target = {};
-    this->want(mark, now);
+    this->setTarget(mark, now);
     this->deferred = newer;
 }
 
@@ -74,7 +74,8 @@
     if (step.source == PullSource::None)
         return step;
     step.number = ++this->lastNumber;
-    const Duration answerTime = heldVersion == 0 ? this->settings.wholeAnswerTime : this->settings.answerTime;
+    const Duration answerTime =
+        heldVersion == 0 ? this->settings.fullResponseTimeout : this->settings.responseTimeout;
     this->open.push_back({step, now, now + answerTime, false});
     return step;
 }
@@ -88,7 +89,7 @@
     const bool waits = std::any_of(this->open.begin(), this->open.end(),
                                    [now](const Attempt &attempt) { return now < attempt.dueAt; });
     return !waits && this->open.size() < maximumOpen && now >= this->notBefore
-           && !this->isRefused(this->target);
+           && !this->isRejected(this->target);
 }
 
 PullStep PullPlan::choose(Instant now, std::uint64_t heldVersion, std::uint32_t rank,
@@ -100,14 +101,14 @@
     // it first, and the version is late by the time after which such a read is given up. Whoever told has it
     // or knows who has, so peers go first.
     const bool reported = this->reportedBySource >= this->target.version;
-    const Duration pollerPause = reported ? Duration::zero() : this->settings.peersFirstFor;
+    const Duration pollerPause = reported ? Duration::zero() : this->settings.peersOnlyDuration;
     const bool poller = rank < this->settings.platformPullers
-                        && waited >= pollerPause + this->settings.laterPollerDelay * place;
-    const Duration turn = this->settings.platformAfter + this->settings.platformAfterEachRank * place;
+                        && waited >= pollerPause + this->settings.pollerDelayPerRank * place;
+    const Duration turn = this->settings.platformDelay + this->settings.platformDelayPerRank * place;
     const bool platformDue =
         (poller || waited >= turn) && now >= this->platformNotBefore && !this->isPlatformAsked();
     // A node that holds nothing would read every section from the platform; another zone costs it nothing.
-    const bool otherDue = heldVersion == 0 || waited >= this->settings.otherZonesAfter;
+    const bool otherDue = heldVersion == 0 || waited >= this->settings.otherZonesDelay;
     PullStep step;
     if (this->settings.platformFirst && reported && platformDue) {
         step.source = PullSource::Platform;
@@ -208,7 +209,7 @@
     ++this->platformFailures;
     const auto factor = std::int64_t{1} << std::min(this->platformFailures, largestShift);
     this->platformNotBefore =
-        now + std::min(this->settings.longestBackoff * 4, this->settings.firstBackoff * 4 * factor);
+        now + std::min(this->settings.maximumBackoff * 4, this->settings.initialBackoff * 4 * factor);
 }
 
 void PullPlan::peerFailed(Instant now, const std::string &id, PullFailure failure)
@@ -223,10 +224,10 @@
 {
     if (this->avoided.size() >= maximumAvoided)
         this->avoided.clear();
-    this->avoided[id] = now + this->settings.avoidPeerFor;
+    this->avoided[id] = now + this->settings.peerAvoidance;
 }
 
-bool PullPlan::isRefused(const ConfigurationVersion &mark) const
+bool PullPlan::isRejected(const ConfigurationVersion &mark) const
 {
     return std::find(this->refused.begin(), this->refused.end(), mark) != this->refused.end();
 }
@@ -253,12 +254,12 @@
 Duration PullPlan::backoff()
 {
     const auto factor = std::int64_t{1} << std::min(this->failures, largestShift);
-    const Duration longest = std::min(this->settings.longestBackoff, this->settings.firstBackoff * factor);
+    const Duration longest = std::min(this->settings.maximumBackoff, this->settings.initialBackoff * factor);
     std::uniform_real_distribution<double> share(0.2, 1);
     return std::chrono::duration_cast<Duration>(longest * share(this->random));
 }
 
-std::uint64_t agreedVersion(std::vector<std::uint64_t> heldVersions)
+std::uint64_t corroboratedVersion(std::vector<std::uint64_t> heldVersions)
 {
     std::erase(heldVersions, std::uint64_t{0});
     if (heldVersions.empty())
--- a/Libraries/LibSpread/PullPlan.h
+++ b/Libraries/LibSpread/PullPlan.h
@@ -68,22 +68,22 @@
 
 struct PullSettings
 {
-    Duration laterPollerDelay = Milliseconds(1000); // A zone's second poller leaves the first this much.
-    Duration otherZonesAfter = Milliseconds(1500);
-    Duration platformAfter = Milliseconds(5000);
-    Duration platformAfterEachRank = Milliseconds(1000); // Added once for each node that ranks before.
-    Duration firstBackoff = Milliseconds(50);
-    Duration longestBackoff = Milliseconds(5000);
-    Duration avoidPeerFor = Milliseconds(5000);
+    Duration pollerDelayPerRank = Milliseconds(1000); // A zone's second poller leaves the first this much.
+    Duration otherZonesDelay = Milliseconds(1500);
+    Duration platformDelay = Milliseconds(5000);
+    Duration platformDelayPerRank = Milliseconds(1000); // Added once for each node that ranks before.
+    Duration initialBackoff = Milliseconds(50);
+    Duration maximumBackoff = Milliseconds(5000);
+    Duration peerAvoidance = Milliseconds(5000);
     // After which a pull is overtaken by another. A change is some kilobytes.
-    Duration answerTime = Milliseconds(500);
+    Duration responseTimeout = Milliseconds(500);
     // The same for a node that holds nothing. A whole site takes a second on a link of 5 Mbit/s.
-    Duration wholeAnswerTime = Milliseconds(2000);
+    Duration fullResponseTimeout = Milliseconds(2000);
     // What the source itself told of is taken from it before peers are asked: it has the content already.
     bool platformFirst = false;
     // What only peers told of is asked of the platform by those who may after this; until then a peer that
     // holds it may turn up.
-    Duration peersFirstFor{};
+    Duration peersOnlyDuration{};
     std::uint32_t platformPullers = 2; // Ranks that may ask the platform at once; equals the fast pollers.
 };
 
@@ -93,10 +93,10 @@
     PullPlan(PullSettings settings, std::uint64_t seed);
 
     // Commands.
-    void want(const ConfigurationVersion &mark, Instant now); // Heard of from peers.
+    void setTarget(const ConfigurationVersion &mark, Instant now); // Heard of from peers.
     void sourceReported(const ConfigurationVersion &mark, Instant now);
     // Only for a node that holds nothing: takes an older version first, and wants the newer one after it.
-    void settleFor(const ConfigurationVersion &mark, Instant now);
+    void setInterimTarget(const ConfigurationVersion &mark, Instant now);
     // Begins an attempt when it names a source; succeeded() or failed() with its number must follow.
     PullStep next(Instant now, std::uint64_t heldVersion, std::uint32_t rank,
                   const std::vector<Holder> &holders);
@@ -108,10 +108,10 @@
     std::vector<OverduePull> takeOverdue(Instant now);
 
     // Queries.
-    const ConfigurationVersion &wanted() const { return this->target; }
-    bool inFlight() const { return !this->open.empty(); }
+    const ConfigurationVersion &targetVersion() const { return this->target; }
+    bool hasOpenPulls() const { return !this->open.empty(); }
     bool isOpen(std::uint64_t number) const;
-    bool isRefused(const ConfigurationVersion &mark) const;
+    bool isRejected(const ConfigurationVersion &mark) const;
 
 private:
     void noteBehind(Instant now);
@@ -159,6 +159,6 @@
 // What a node without a configuration takes while the platform is out: the highest version that at least two
 // peers hold, or the only peer's. Zero when there is none. One peer alone could hold a version that was never
 // accepted by anyone else; two independent ones make that a fault of the head row, not of a node.
-std::uint64_t agreedVersion(std::vector<std::uint64_t> heldVersions);
+std::uint64_t corroboratedVersion(std::vector<std::uint64_t> heldVersions);
 
 } // namespace Sagecrank
--- a/Libraries/LibSpread/Rendezvous.cpp
+++ b/Libraries/LibSpread/Rendezvous.cpp
@@ -36,10 +36,10 @@
 std::uint32_t platformReaderRank(std::string_view role, const PlatformReader &self,
                                  const std::vector<PlatformReader> &others, std::uint32_t readers)
 {
-    std::uint32_t widest = self.linkMegabits;
+    std::uint32_t widest = self.linkMbps;
     for (const PlatformReader &other : others)
-        widest = std::max(widest, other.linkMegabits);
-    const auto isWide = [widest](const PlatformReader &reader) { return 2 * reader.linkMegabits >= widest; };
+        widest = std::max(widest, other.linkMbps);
+    const auto isWide = [widest](const PlatformReader &reader) { return 2 * reader.linkMbps >= widest; };
     std::vector<std::string_view> wide;
     std::vector<std::string_view> narrow;
     for (const PlatformReader &other : others)
--- a/Libraries/LibSpread/Rendezvous.h
+++ b/Libraries/LibSpread/Rendezvous.h
@@ -17,7 +17,7 @@
 struct PlatformReader
 {
     std::string_view id;
-    std::uint32_t linkMegabits = 0; // A second; 0: not told.
+    std::uint32_t linkMbps = 0; // A second; 0: not told.
 };
 
 // Ranks for that: the first `readers` of a zone read each version, the others hear of it and get the change
--- a/Services/Node/Control/ControlFollower.cpp
+++ b/Services/Node/Control/ControlFollower.cpp
@@ -88,7 +88,7 @@
 
 void ControlFollower::heard(const ConfigurationVersion &mark)
 {
-    this->plan.want(mark, SteadyClock::now());
+    this->plan.setTarget(mark, SteadyClock::now());
     this->considerPull();
 }
 
@@ -126,10 +126,10 @@
 
 void ControlFollower::readHead(const HeadRead &read)
 {
-    const std::uint64_t known = this->plan.wanted().version;
+    const std::uint64_t known = this->plan.targetVersion().version;
     HeadQuery query;
     // Only those who read often wait for news; the others look once and leave the source alone.
-    if (read.waits)
+    if (read.longPoll)
         query.known = known;
     query.hold = read.hold;
     query.freshConnection = read.isRetry;
@@ -147,8 +147,8 @@
 void ControlFollower::headRead(const HeadRead &read, std::uint64_t known, const Head &found)
 {
     const Instant now = SteadyClock::now();
-    if (this->poll.failuresInRow() != 0 && this->hooks.sourceBack)
-        this->hooks.sourceBack({now - this->sourceAnswered, this->poll.failuresInRow(), found.version});
+    if (this->poll.consecutiveFailures() != 0 && this->hooks.sourceBack)
+        this->hooks.sourceBack({now - this->sourceAnswered, this->poll.consecutiveFailures(), found.version});
     this->sourceAnswered = now;
     this->poll.answered(now, this->poller(), read.number, found.version > known);
     const ConfigurationVersion mark{found.version, found.digest.high, found.digest.low};
@@ -167,7 +167,7 @@
     if (error.kind == ErrorKind::InvalidInput)
         this->hooks.failed(error);
     else
-        this->tellSourceFailed(error, waited, this->poll.failuresInRow());
+        this->tellSourceFailed(error, waited, this->poll.consecutiveFailures());
 }
 
 void ControlFollower::tellSourceFailed(const Error &error, Duration waited, std::uint32_t failures)
@@ -188,7 +188,7 @@
         return;
     const Instant now = SteadyClock::now();
     const std::uint64_t held = this->heldVersion();
-    if (held == 0 && now - this->started > settleAfter && !this->plan.inFlight())
+    if (held == 0 && now - this->started > settleAfter && !this->plan.hasOpenPulls())
         this->wantAgreedVersion(now);
     this->considerPull();
     this->considerRank(now);
@@ -210,7 +210,7 @@
 void ControlFollower::considerPull()
 {
     const std::uint64_t held = this->heldVersion();
-    if (this->stopped || this->plan.wanted().version <= held)
+    if (this->stopped || this->plan.targetVersion().version <= held)
         return;
     const Instant now = SteadyClock::now();
     for (const OverduePull &pull : this->plan.takeOverdue(now))
@@ -238,8 +238,8 @@
 // goes on to a newer one once somebody has it.
 void ControlFollower::wantAgreedVersion(Instant now)
 {
-    if (this->hooks.holders(this->plan.wanted().version).empty())
-        this->plan.settleFor({agreedVersion(this->hooks.zoneVersions()), 0, 0}, now);
+    if (this->hooks.holders(this->plan.targetVersion().version).empty())
+        this->plan.setInterimTarget({corroboratedVersion(this->hooks.zoneVersions()), 0, 0}, now);
 }
 
 void ControlFollower::pullFromPlatform(const PullStep &step)
@@ -266,7 +266,7 @@
 Result<void> ControlFollower::takePlatformAnswer(Result<SiteConfiguration> configuration)
 {
     SiteConfiguration found = TRY(std::move(configuration));
-    this->plan.want({found.manifest.version, 0, 0}, SteadyClock::now());
+    this->plan.setTarget({found.manifest.version, 0, 0}, SteadyClock::now());
     return this->take(std::move(found));
 }
 
@@ -329,9 +329,9 @@
 void ControlFollower::fail(std::uint64_t number, const Error &error, PullFailure failure)
 {
     ++this->counts.pullFailures;
-    const ConfigurationVersion mark = this->plan.wanted();
+    const ConfigurationVersion mark = this->plan.targetVersion();
     this->plan.failed(SteadyClock::now(), number, failure, {});
-    if (this->plan.isRefused(mark))
+    if (this->plan.isRejected(mark))
         ++this->counts.refusedVersions;
     this->hooks.failed(error);
 }
@@ -349,7 +349,7 @@
         if (version->manifest.version == request.baseVersion)
             base = version.get();
     }
-    response.answer = base == &nothing ? PullAnswer::Whole : PullAnswer::Delta;
+    response.answer = base == &nothing ? PullAnswer::Full : PullAnswer::Delta;
     response.version = held;
     std::string &payload = this->deltas[base->manifest.version];
     if (payload.empty())
--- a/Services/Node/Control/ControlFollower.h
+++ b/Services/Node/Control/ControlFollower.h
@@ -86,7 +86,7 @@
     std::uint64_t heldVersion() const;
     const FollowerCounters &counters() const { return this->counts; }
     VersionSourceCounters sourceCounters() const { return this->source.counters(); }
-    const ConfigurationVersion &wanted() const { return this->plan.wanted(); }
+    const ConfigurationVersion &wanted() const { return this->plan.targetVersion(); }
     Duration sourceAge() const; // Since the source last answered, or since the start.
 
 private:
--- a/Services/Node/NodeParts.cpp
+++ b/Services/Node/NodeParts.cpp
@@ -36,24 +36,24 @@
     control.follower.poll.fastPollersPerZone = watchersPerZone;
     control.follower.poll.fastInterval = pauseBetweenWatches;
     control.follower.poll.hold = longestHold;
-    control.follower.poll.answerTime = storeAnswerTime;
+    control.follower.poll.responseTimeout = storeAnswerTime;
     control.follower.poll.retryInterval = pauseBetweenRetries;
-    control.follower.poll.lonelyRetryInterval = Milliseconds(1000);
-    control.follower.poll.blindSpread = Milliseconds(20);
-    control.follower.poll.firstSpread = Milliseconds(20);
+    control.follower.poll.isolatedRetryInterval = Milliseconds(1000);
+    control.follower.poll.initialSpreadWithoutPeers = Milliseconds(20);
+    control.follower.poll.initialSpread = Milliseconds(20);
     control.follower.pull.platformPullers = watchersPerZone;
-    control.follower.pull.laterPollerDelay = Duration::zero();
+    control.follower.pull.pollerDelayPerRank = Duration::zero();
     control.follower.pull.platformFirst = true;
     // After other zones: the watch brings content too, so reading the store for what it has not told of helps
     // only those who do not watch.
-    control.follower.pull.peersFirstFor = Milliseconds(600);
+    control.follower.pull.peersOnlyDuration = Milliseconds(600);
     // The watchers of a zone have a change within a tenth of a second. When none has it after this, the store
     // turns the zone away, and a change from another zone is some hundred bytes.
-    control.follower.pull.otherZonesAfter = Milliseconds(500);
+    control.follower.pull.otherZonesDelay = Milliseconds(500);
     // A node that no peer has helped for half of the time that a change may take reads the row itself, one
     // after the other in each zone: 50 calls a second of a zone at most.
-    control.follower.pull.platformAfter = Milliseconds(1000);
-    control.follower.pull.platformAfterEachRank = Milliseconds(20);
+    control.follower.pull.platformDelay = Milliseconds(1000);
+    control.follower.pull.platformDelayPerRank = Milliseconds(20);
     control.introducers.initialDelay = Milliseconds(10);
     // Load: all hosts lose power, and their nodes start within a fifth of a second. Harm of a pause of 300
     // ms: the zones hear of each other after 0.7 to 1.0 s, and all calls to another zone's service are
--- a/Tests/Control/TestControlPlane.cpp
+++ b/Tests/Control/TestControlPlane.cpp
@@ -378,7 +378,7 @@
     hooks.knowsPeers = [] { return true; };
     hooks.failed = [](const Error &) {};
     FollowerSettings settings;
-    settings.poll.firstSpread = Milliseconds(10);
+    settings.poll.initialSpread = Milliseconds(10);
     settings.poll.fastInterval = Milliseconds(50);
     ControlFollower follower(fixture.context, "a", "s", platform.source(), settings, std::move(hooks), 1);
     follower.start();
--- a/Tests/LibSpread/TestHeadPoll.cpp
+++ b/Tests/LibSpread/TestHeadPoll.cpp
@@ -112,8 +112,8 @@
     settings.fastInterval = Milliseconds(200);
     settings.hold = Milliseconds(2000);
     settings.retryInterval = Milliseconds(500);
-    settings.lonelyRetryInterval = Milliseconds(1000);
-    settings.firstSpread = Milliseconds(20);
+    settings.isolatedRetryInterval = Milliseconds(1000);
+    settings.initialSpread = Milliseconds(20);
     return settings;
 }
 
@@ -240,7 +240,7 @@
     node.poll.start(now, true);
     for (; now < source.outTo; now += tick)
         node.advance(now, source);
-    const auto most = static_cast<std::size_t>(minutes(1) / settings.lonelyRetryInterval * 13 / 10);
+    const auto most = static_cast<std::size_t>(minutes(1) / settings.isolatedRetryInterval * 13 / 10);
     cr_assert(node.begun <= most, "%zu reads", node.begun);
 }
 
@@ -258,14 +258,14 @@
     cr_assert(first.hold > Duration::zero() && !first.isRetry);
     now = poll.wakeAt();
     const HeadStep second = poll.next(now, self);
-    cr_assert(second.overdue.size() == 1 && poll.failuresInRow() == 1);
+    cr_assert(second.overdue.size() == 1 && poll.consecutiveFailures() == 1);
     cr_assert(second.begin->isRetry && second.begin->hold == Duration::zero());
     poll.answered(now, self, second.begin->number, false);
-    cr_assert(poll.failuresInRow() == 0);
+    cr_assert(poll.consecutiveFailures() == 0);
     const Instant wake = poll.wakeAt();
     cr_assert(!poll.failed(now, self, first.number));
     poll.answered(now, self, first.number, true);
-    cr_assert(poll.wakeAt() == wake && poll.failuresInRow() == 0);
+    cr_assert(poll.wakeAt() == wake && poll.consecutiveFailures() == 0);
 }
 
 // All pollers of a zone lose their power for good at once, and no other zone is near to tell of changes. The
--- a/Tests/LibSpread/TestPullPlan.cpp
+++ b/Tests/LibSpread/TestPullPlan.cpp
@@ -13,13 +13,13 @@
 PullSettings contentComesAlong()
 {
     PullSettings settings;
-    settings.laterPollerDelay = Duration::zero();
+    settings.pollerDelayPerRank = Duration::zero();
     settings.platformFirst = true;
-    settings.peersFirstFor = Milliseconds(600);
+    settings.peersOnlyDuration = Milliseconds(600);
     settings.platformPullers = 3;
-    settings.otherZonesAfter = Milliseconds(500);
-    settings.platformAfter = Milliseconds(1000);
-    settings.platformAfterEachRank = Milliseconds(20);
+    settings.otherZonesDelay = Milliseconds(500);
+    settings.platformDelay = Milliseconds(1000);
+    settings.platformDelayPerRank = Milliseconds(20);
     return settings;
 }
 
@@ -37,7 +37,7 @@
 {
     PullPlan plan(contentComesAlong(), 1);
     const Instant now(std::chrono::hours(1));
-    plan.want({5, 0, 0}, now);
+    plan.setTarget({5, 0, 0}, now);
     cr_assert(plan.next(now, 4, 0, {near}).source == PullSource::ZonePeer);
 }
 
@@ -51,15 +51,15 @@
     const Instant begin(std::chrono::hours(1));
     std::uint64_t version = 5;
     Instant newsAt = begin;
-    plan.want({version, 0, 0}, begin);
+    plan.setTarget({version, 0, 0}, begin);
     for (Instant now = begin; now < begin + std::chrono::seconds(10); now += tick) {
         if (now - newsAt >= std::chrono::seconds(1)) {
             newsAt = now;
-            plan.want({++version, 0, 0}, now);
+            plan.setTarget({++version, 0, 0}, now);
         }
         const PullStep step = plan.next(now, 4, 9, {far});
         if (step.source == PullSource::OtherPeer) {
-            cr_assert(now - begin <= contentComesAlong().otherZonesAfter + tick);
+            cr_assert(now - begin <= contentComesAlong().otherZonesDelay + tick);
             return;
         }
         cr_assert(step.source == PullSource::None);
@@ -75,7 +75,7 @@
 {
     PullPlan plan(contentComesAlong(), 1);
     Instant now(std::chrono::hours(1));
-    plan.want({5, 0, 0}, now);
+    plan.setTarget({5, 0, 0}, now);
     int failed = 0;
     for (; failed < 8; now += tick) {
         const PullStep step = plan.next(now, 4, 0, {});
@@ -84,7 +84,7 @@
         plan.failed(now, step.number, PullFailure::Unreachable, {});
         ++failed;
     }
-    plan.want({6, 0, 0}, now);
+    plan.setTarget({6, 0, 0}, now);
     while (plan.next(now, 4, 0, {}).source != PullSource::Platform)
         now += tick;
     plan.sourceReported({6, 0, 0}, now); // While another read is under way.
@@ -96,9 +96,9 @@
 {
     PullPlan plan(contentComesAlong(), 1);
     const Instant begin(std::chrono::hours(1));
-    plan.want({5, 0, 0}, begin);
+    plan.setTarget({5, 0, 0}, begin);
     cr_assert(plan.next(begin, 4, 0, {}).source == PullSource::None);
-    const Instant later = begin + contentComesAlong().peersFirstFor;
+    const Instant later = begin + contentComesAlong().peersOnlyDuration;
     cr_assert(plan.next(later, 4, 0, {}).source == PullSource::Platform);
 }
 
@@ -110,14 +110,14 @@
     PullPlan plan(contentComesAlong(), 1);
     const Instant begin(std::chrono::hours(1));
     const Holder other{"other", "", true};
-    plan.want({5, 0, 0}, begin);
+    plan.setTarget({5, 0, 0}, begin);
     const PullStep first = plan.next(begin, 4, 9, {near, other});
     cr_assert(first.source == PullSource::ZonePeer);
     cr_assert(plan.next(begin + tick, 4, 9, {near, other}).source == PullSource::None);
-    const Instant overdue = begin + contentComesAlong().answerTime;
+    const Instant overdue = begin + contentComesAlong().responseTimeout;
     const PullStep second = plan.next(overdue, 4, 9, {near, other});
     cr_assert(second.source == PullSource::ZonePeer && second.holder.id != first.holder.id);
     cr_assert(plan.succeeded(second.number));
     cr_assert(!plan.succeeded(first.number), "its content is not offered again");
-    cr_assert(!plan.inFlight());
+    cr_assert(!plan.hasOpenPulls());
 }
--- a/Tests/LibSpread/TestSpread.cpp
+++ b/Tests/LibSpread/TestSpread.cpp
@@ -83,9 +83,9 @@
             this->finish(node);
         for (Node &node : this->nodes) {
             if (this->now >= node.hearsAt)
-                node.plan->want({this->version, 1, 1}, this->now);
+                node.plan->setTarget({this->version, 1, 1}, this->now);
             this->begin(node);
-            this->mostServed = std::max(this->mostServed, node.admission->servingNow());
+            this->mostServed = std::max(this->mostServed, node.admission->activeCount());
         }
     }
 
@@ -120,7 +120,7 @@
 
     void begin(Node &node)
     {
-        if (node.plan->inFlight() || node.held >= this->version || this->now < node.hearsAt)
+        if (node.plan->hasOpenPulls() || node.held >= this->version || this->now < node.hearsAt)
             return;
         const PullStep step = node.plan->next(this->now, node.held, node.rank, this->holders(node));
         if (step.source == PullSource::None)
@@ -143,7 +143,7 @@
 
     void finish(Node &node)
     {
-        if (!node.plan->inFlight() || this->now < node.pullEnds)
+        if (!node.plan->hasOpenPulls() || this->now < node.pullEnds)
             return;
         if (node.server != nullptr)
             node.server->admission->end();
@@ -186,7 +186,7 @@
 
 TABLE_TEST(spread, aFreshNodeTakesWhatTwoPeersHold, agreedRows)
 {
-    cr_assert(agreedVersion(row.held) == row.agreed);
+    cr_assert(corroboratedVersion(row.held) == row.agreed);
 }
 
 Test(spread, ranksAreAgreedAndMoveLittle)
@@ -348,26 +348,26 @@
 {
     PullPlan plan({}, 9);
     Instant now(std::chrono::hours(1));
-    plan.want({5, 1, 1}, now);
+    plan.setTarget({5, 1, 1}, now);
     const std::vector<Holder> holders = {{"n1", "", true}};
     const PullStep fromPeer = plan.next(now, 4, 40, holders);
     cr_assert(fromPeer.source == PullSource::ZonePeer);
     plan.failed(now, fromPeer.number, PullFailure::Invalid, {});
-    cr_assert(!plan.isRefused({5, 1, 1}));
+    cr_assert(!plan.isRejected({5, 1, 1}));
     now += minutes(1);
     const PullStep fromPlatform = plan.next(now, 4, 40, holders);
     cr_assert(fromPlatform.source == PullSource::Platform);
     plan.failed(now, fromPlatform.number, PullFailure::Invalid, {});
-    cr_assert(plan.isRefused({5, 1, 1}));
+    cr_assert(plan.isRejected({5, 1, 1}));
 }
 
 Test(spread, neverBack)
 {
     PullPlan plan({}, 10);
     const Instant now(std::chrono::hours(1));
-    plan.want({5, 1, 1}, now);
-    plan.want({4, 2, 2}, now);
-    cr_assert(plan.wanted().version == 5);
+    plan.setTarget({5, 1, 1}, now);
+    plan.setTarget({4, 2, 2}, now);
+    cr_assert(plan.targetVersion().version == 5);
     cr_assert(plan.next(now, 5, 0, {}).source == PullSource::None);
 }
 
@@ -377,13 +377,13 @@
 {
     PullPlan plan({}, 11);
     const Instant now(std::chrono::hours(1));
-    plan.want({9, 1, 1}, now);
-    plan.settleFor({8, 0, 0}, now);
-    cr_assert(plan.wanted().version == 8);
+    plan.setTarget({9, 1, 1}, now);
+    plan.setInterimTarget({8, 0, 0}, now);
+    cr_assert(plan.targetVersion().version == 8);
     const PullStep step = plan.next(now, 0, 40, {{"n1", "", true}});
     cr_assert(step.source == PullSource::ZonePeer);
-    plan.want({9, 1, 1}, now);
-    cr_assert(plan.wanted().version == 8);
+    plan.setTarget({9, 1, 1}, now);
+    cr_assert(plan.targetVersion().version == 8);
     cr_assert(plan.succeeded(step.number));
-    cr_assert(plan.wanted().version == 9);
+    cr_assert(plan.targetVersion().version == 9);
 }
