--- a/Libraries/LibSpread/HeadPoll.cpp
+++ b/Libraries/LibSpread/HeadPoll.cpp
@@ -1,4 +1,4 @@
-// Pace of head reads.
+// Timing of head reads.
 #include <LibSpread/HeadPoll.h>
 
 #include <algorithm>
@@ -7,13 +7,12 @@
 
 namespace {
 
-// A read has a timeout of its own at the source, so few are open at once; more would be a source that never
-// reports an end.
+// Reads time out at the source, so few are open at once. Bounds the list if a source never reports their end.
 constexpr std::size_t maximumOpen = 16;
 
-constexpr double slowSpread = 0.5;
-constexpr double fastSpread = 0.1;
-constexpr double retrySpread = 0.2;
+constexpr double slowJitter = 0.5;
+constexpr double fastJitter = 0.1;
+constexpr double retryJitter = 0.2;
 
 } // namespace
 
@@ -43,19 +42,20 @@
     this->open.push_back({step.begin->number, now, dueAt, false});
     this->lastBegun = now;
     if (!this->isFast(self))
-        this->nextAt = now + this->jittered(this->settings.slowInterval, slowSpread);
+        this->nextAt = now + this->jittered(this->settings.slowInterval, slowJitter);
     else
         this->nextAt = step.begin->isRetry ? now + this->retryPause(self) : dueAt;
     return step;
 }
 
-// Failure: those that polled for a zone are gone, and the next in rank sleeps until its slow poll. Symptom:
-// no change is in force for up to a minute and a half, though the source answers. A new rank ends the sleep.
+// When the fast pollers of a zone are lost, the next node in rank would wait for its slow poll, and no change
+// would come into force for up to a minute and a half. A node that becomes a fast poller therefore reads
+// soon.
 void HeadPoll::rankChanged(Instant now, const HeadPoller &self)
 {
     const bool isFast = this->isFast(self);
     if (isFast && !this->wasFast)
-        this->nextAt = std::min(this->nextAt, now + this->jittered(this->settings.fastInterval, fastSpread));
+        this->nextAt = std::min(this->nextAt, now + this->jittered(this->settings.fastInterval, fastJitter));
     this->wasFast = isFast;
 }
 
@@ -80,33 +80,33 @@
     read.longPoll = this->isFast(self);
     if (read.longPoll && !read.isRetry) {
         read.hold = this->holdOf(self);
-        this->staggers = false;
+        this->staggerHolds = false;
     }
     return read;
 }
 
-// Failure: the source loses the reads under way and is back at once; each poller notices when its read is
-// overdue, and after a change all of a zone have begun theirs together. Symptom: the whole zone is deaf for a
-// full hold. So the first hold after news is shorter for some: the reads of a zone's pollers end in turn, and
-// the next to end finds out for all.
+// A source that restarts quickly loses the reads in flight, which a poller notices only when its read is
+// overdue. After a change all pollers of a zone start their reads together, so the zone would miss changes
+// for a full hold. The first hold after a change is therefore staggered by rank: the reads end in turn, and
+// the first that ends detects the loss for the zone.
 Duration HeadPoll::holdOf(const HeadPoller &self) const
 {
-    if (!this->staggers)
+    if (!this->staggerHolds)
         return this->settings.hold;
     return this->settings.hold * (self.rank + 1) / this->settings.fastPollersPerZone;
 }
 
-void HeadPoll::answered(Instant now, const HeadPoller &self, std::uint64_t number, bool news)
+void HeadPoll::answered(Instant now, const HeadPoller &self, std::uint64_t number, bool hasNewVersion)
 {
     const bool known = std::any_of(this->open.begin(), this->open.end(),
                                    [number](const OpenRead &read) { return read.number == number; });
     if (!known)
-        return; // Overtaken by another answer, which has set the pace already.
-    this->staggers = this->staggers || news || this->failures != 0;
+        return; // Superseded by another answer, which has set the next read already.
+    this->staggerHolds = this->staggerHolds || hasNewVersion || this->failures != 0;
     this->open.clear();
     this->failures = 0;
-    const Duration pause = this->isFast(self) ? this->jittered(this->settings.fastInterval, fastSpread)
-                                              : this->jittered(this->settings.slowInterval, slowSpread);
+    const Duration pause = this->isFast(self) ? this->jittered(this->settings.fastInterval, fastJitter)
+                                              : this->jittered(this->settings.slowInterval, slowJitter);
     this->nextAt = now + pause;
 }
 
@@ -129,13 +129,13 @@
 Duration HeadPoll::retryPause(const HeadPoller &self)
 {
     return this->jittered(
-        self.knowsPeers ? this->settings.retryInterval : this->settings.isolatedRetryInterval, retrySpread);
+        self.knowsPeers ? this->settings.retryInterval : this->settings.isolatedRetryInterval, retryJitter);
 }
 
 Duration HeadPoll::jittered(Duration interval, double spread)
 {
-    std::uniform_real_distribution<double> share(1.0 - spread, 1.0 + spread);
-    return std::chrono::duration_cast<Duration>(interval * share(this->random));
+    std::uniform_real_distribution<double> factor(1.0 - spread, 1.0 + spread);
+    return std::chrono::duration_cast<Duration>(interval * factor(this->random));
 }
 
 } // namespace Sagecrank
--- a/Libraries/LibSpread/PullAdmission.h
+++ b/Libraries/LibSpread/PullAdmission.h
@@ -1,9 +1,9 @@
-// How many pulls a node serves at once.
+// Limits how many configuration pulls a node serves at once.
 //
-// Load: hundreds of peers learn within a second that this node holds a new version. Harm: serving all of them
-// takes the node's bandwidth and processor time from its calls. Limit: eight at once; a whole site of 820
-// services is about 150 KB, so eight fit in memory many times over, and a peer that is sent away finds
-// another holder soon, because each that was served is one.
+// Hundreds of peers learn within a second that this node holds a new version. Serving all of them at once
+// would take bandwidth and CPU time from its calls. With a limit of eight, memory is no concern, since a full
+// site of 820 services is about 150 KB. A rejected peer soon finds another holder, because every served peer
+// becomes one.
 #pragma once
 
 #include <LibCore/Time.h>
@@ -22,33 +22,33 @@
     {
     }
 
-    // Commands. Every begin() that said yes is followed by one end().
+    // Commands. Each begin() that returns true must be followed by one end().
     bool begin()
     {
-        if (this->serving >= this->limit) {
-            ++this->turnedAway;
+        if (this->active >= this->limit) {
+            ++this->rejected;
             return false;
         }
-        ++this->serving;
+        ++this->active;
         return true;
     }
-    void end() { --this->serving; }
-    // Spread, so that peers that were sent away together do not come back together.
+    void end() { --this->active; }
+    // Randomised, so that peers rejected together do not retry together.
     Duration retryAfter()
     {
-        std::uniform_int_distribution<int> spread(50, 300);
-        return Milliseconds(spread(this->random));
+        std::uniform_int_distribution<int> milliseconds(50, 300);
+        return Milliseconds(milliseconds(this->random));
     }
 
     // Queries.
-    std::uint32_t activeCount() const { return this->serving; }
-    std::uint64_t rejectedCount() const { return this->turnedAway; }
+    std::uint32_t activeCount() const { return this->active; }
+    std::uint64_t rejectedCount() const { return this->rejected; }
 
 private:
     std::uint32_t limit;
     std::mt19937_64 random;
-    std::uint32_t serving = 0; // Never above limit.
-    std::uint64_t turnedAway = 0;
+    std::uint32_t active = 0; // Never above the limit.
+    std::uint64_t rejected = 0;
 };
 
 } // namespace Sagecrank
--- a/Libraries/LibSpread/PullMessages.h
+++ b/Libraries/LibSpread/PullMessages.h
@@ -1,4 +1,5 @@
-// What nodes say to each other on the control port: one request and one answer a connection.
+// Messages of configuration pulls between nodes on the control port: one request and one answer per
+// connection.
 #pragma once
 
 #include <LibCore/EnumNames.h>
@@ -10,18 +11,18 @@
 
 namespace Sagecrank {
 
-// A request is small; a longer frame is not one.
+// A valid request is well below this.
 inline constexpr std::size_t maximumPullRequestSize = 512;
 
-// 820 services with ten routes each are well under a mebibyte.
+// 820 services with ten routes each take well under a mebibyte.
 inline constexpr std::size_t maximumPullResponseSize = std::size_t{4} << 20;
 
 struct PullRequest
 {
-    std::string node; // Id of who asks.
+    std::string node; // Id of the requesting node.
     std::string site;
-    std::uint64_t wantedVersion = 0; // At least this one.
-    std::uint64_t baseVersion = 0;   // What the asker holds; zero is nothing.
+    std::uint64_t wantedVersion = 0; // Minimum version.
+    std::uint64_t baseVersion = 0;   // Version that the requesting node holds; zero: none.
 
     template <typename Archive>
     void serialize(Archive &archive)
@@ -31,10 +32,10 @@
 };
 
 enum class PullAnswer : std::uint8_t {
-    Full,    // The payload is the whole of the site.
-    Delta,   // The payload is what changed since the base version.
-    Missing, // This node does not hold the version, or another site's.
-    Busy,    // Come back after retryAfterMilliseconds.
+    Full,    // The payload is the complete site configuration.
+    Delta,   // The payload holds the changes since the base version.
+    Missing, // This node does not hold the version, or belongs to another site.
+    Busy,    // Retry after retryAfterMilliseconds.
 };
 
 inline constexpr EnumNames<PullAnswer, 4> pullAnswerNames{{
@@ -49,7 +50,7 @@
     PullAnswer answer = PullAnswer::Missing;
     std::uint32_t retryAfterMilliseconds = 0;
     std::uint64_t version = 0;
-    std::string payload; // An encoded SiteDelta; the whole is one from nothing.
+    std::string payload; // An encoded SiteDelta; a full configuration is a delta from an empty one.
 
     template <typename Archive>
     void serialize(Archive &archive)
--- a/Libraries/LibSpread/PullPlan.cpp
+++ b/Libraries/LibSpread/PullPlan.cpp
@@ -1,4 +1,4 @@
-// Choice of a source, and what follows from a failure.
+// Choice of a pull's source, and handling of its result.
 #include <LibSpread/PullPlan.h>
 
 #include <algorithm>
@@ -7,9 +7,9 @@
 
 namespace {
 
-constexpr std::size_t maximumRefused = 32;
+constexpr std::size_t maximumRejected = 32;
 constexpr std::size_t maximumAvoided = 256;
-constexpr std::uint32_t largestShift = 10;
+constexpr std::uint32_t maximumShift = 10;
 constexpr std::size_t maximumOpen = 3;
 
 } // namespace
@@ -20,43 +20,43 @@
 {
 }
 
-void PullPlan::setTarget(const ConfigurationVersion &mark, Instant now)
+void PullPlan::setTarget(const ConfigurationVersion &version, Instant now)
 {
-    if (mark.version <= std::max(this->target.version, this->deferred.version))
+    if (version.version <= std::max(this->target.version, this->deferred.version))
         return;
     this->deferred = {};
-    this->target = mark;
-    this->noteBehind(now);
+    this->target = version;
+    this->markBehind(now);
     this->notBefore = now;
     this->failures = 0;
     this->peerContentInvalid = false;
 }
 
-// Failure: the source does not answer while peers tell of versions, and the reads for these fail one after
-// the other. Symptom: the pause that grew meanwhile outlives the outage, and a node that has the newest
-// version in its hands puts it in force a second late, or more. A source that tells of a version lives.
-void PullPlan::sourceReported(const ConfigurationVersion &mark, Instant now)
+// While the source is down and peers report versions, pulls fail repeatedly. If the backoff that grew
+// meanwhile outlived the outage, a node would apply the newest version a second late or more. A source that
+// reports a version is up, so the backoff is reset.
+void PullPlan::sourceReported(const ConfigurationVersion &version, Instant now)
 {
-    const bool news = mark.version > this->reportedBySource && mark.version >= this->target.version;
-    this->reportedBySource = std::max(this->reportedBySource, mark.version);
+    const bool isNew = version.version > this->reportedBySource && version.version >= this->target.version;
+    this->reportedBySource = std::max(this->reportedBySource, version.version);
     this->platformFailures = 0;
     this->platformNotBefore = now;
-    if (this->settings.platformFirst && news) {
+    if (this->settings.platformFirst && isNew) {
         this->notBefore = now;
-        this->open.clear(); // What they would bring is at hand.
+        this->open.clear(); // The content came with the report.
     }
-    this->setTarget(mark, now);
+    this->setTarget(version, now);
 }
 
-void PullPlan::setInterimTarget(const ConfigurationVersion &mark, Instant now)
+void PullPlan::setInterimTarget(const ConfigurationVersion &version, Instant now)
 {
-    if (mark.version == 0 || this->hasOpenPulls())
+    if (version.version == 0 || this->hasOpenPulls())
         return;
-    if (mark.version >= this->target.version)
-        return this->setTarget(mark, now);
+    if (version.version >= this->target.version)
+        return this->setTarget(version, now);
     const ConfigurationVersion newer = this->target;
     this->target = {};
-    this->setTarget(mark, now);
+    this->setTarget(version, now);
     this->deferred = newer;
 }
 
@@ -67,28 +67,27 @@
         this->behind = false;
         return {};
     }
-    this->noteBehind(now);
+    this->markBehind(now);
     if (!this->mayBegin(now))
         return {};
     PullStep step = this->choose(now, heldVersion, rank, holders);
     if (step.source == PullSource::None)
         return step;
     step.number = ++this->lastNumber;
-    const Duration answerTime =
+    const Duration timeout =
         heldVersion == 0 ? this->settings.fullResponseTimeout : this->settings.responseTimeout;
-    this->open.push_back({step, now, now + answerTime, false});
+    this->open.push_back({step, now, now + timeout, false});
     return step;
 }
 
-// Failure: a peer loses power, or the way to the platform is cut, while a pull is under way. Symptom: the
-// node lacks the version until that pull is given up after seconds, though others have it at hand. So a pull
-// that is overdue does not keep the node from asking elsewhere; what was asked stays open, since it may be
-// slow only, and whichever answers first ends the others.
+// If a peer loses power or the platform becomes unreachable during a pull, waiting for its timeout would
+// delay the version by seconds, although others hold it. An overdue pull therefore does not block another
+// one. It stays open, since its source may only be slow; the first answer ends all others.
 bool PullPlan::mayBegin(Instant now) const
 {
-    const bool waits = std::any_of(this->open.begin(), this->open.end(),
-                                   [now](const Attempt &attempt) { return now < attempt.dueAt; });
-    return !waits && this->open.size() < maximumOpen && now >= this->notBefore
+    const bool isWaiting = std::any_of(this->open.begin(), this->open.end(),
+                                       [now](const OpenPull &pull) { return now < pull.dueAt; });
+    return !isWaiting && this->open.size() < maximumOpen && now >= this->notBefore
            && !this->isRejected(this->target);
 }
 
@@ -96,19 +95,21 @@
                           const std::vector<Holder> &holders)
 {
     const Duration waited = now - this->behindSince;
-    const int place = static_cast<int>(rank);
-    // Failure: the source is silent towards this node while peers tell of a version. Symptom: the node asks
-    // it first, and the version is late by the time after which such a read is given up. Whoever told has it
-    // or knows who has, so peers go first.
+    const int rankFactor = static_cast<int>(rank);
+    // If peers report a version and the source has not, the source may be unreachable from this node. Asking
+    // it first would delay the version by the timeout of that read, so peers, which hold it or know a holder,
+    // come first.
     const bool reported = this->reportedBySource >= this->target.version;
-    const Duration pollerPause = reported ? Duration::zero() : this->settings.peersOnlyDuration;
-    const bool poller = rank < this->settings.platformPullers
-                        && waited >= pollerPause + this->settings.pollerDelayPerRank * place;
-    const Duration turn = this->settings.platformDelay + this->settings.platformDelayPerRank * place;
-    const bool platformDue =
-        (poller || waited >= turn) && now >= this->platformNotBefore && !this->isPlatformAsked();
-    // A node that holds nothing would read every section from the platform; another zone costs it nothing.
-    const bool otherDue = heldVersion == 0 || waited >= this->settings.otherZonesDelay;
+    const Duration pollerDelay = reported ? Duration::zero() : this->settings.peersOnlyDuration;
+    const bool isPollerTurn = rank < this->settings.platformPullers
+                              && waited >= pollerDelay + this->settings.pollerDelayPerRank * rankFactor;
+    const Duration platformWait =
+        this->settings.platformDelay + this->settings.platformDelayPerRank * rankFactor;
+    const bool platformDue = (isPollerTurn || waited >= platformWait) && now >= this->platformNotBefore
+                             && !this->isPullingFromPlatform();
+    // A node that holds no version may ask other zones at once: the platform would have to serve every
+    // section.
+    const bool otherZonesDue = heldVersion == 0 || waited >= this->settings.otherZonesDelay;
     PullStep step;
     if (this->settings.platformFirst && reported && platformDue) {
         step.source = PullSource::Platform;
@@ -116,17 +117,17 @@
     }
     if (!this->peerContentInvalid)
         step = this->choosePeer(now, holders, true);
-    if (step.source == PullSource::None && !this->peerContentInvalid && otherDue)
+    if (step.source == PullSource::None && !this->peerContentInvalid && otherZonesDue)
         step = this->choosePeer(now, holders, false);
     if (step.source == PullSource::None && platformDue)
         step.source = PullSource::Platform;
     return step;
 }
 
-// Failure: versions come faster than a node's turn at other zones and at the platform. Symptom: counted from
-// the newest version, the turn never comes, and a node whose own zone has nothing for it stays behind until
-// the changes end. So it is counted from when the node fell behind.
-void PullPlan::noteBehind(Instant now)
+// The delays for other zones and the platform count from when the node fell behind. If they restarted with
+// each version, a node whose zone has no holder would stay behind for as long as versions arrive faster than
+// those delays.
+void PullPlan::markBehind(Instant now)
 {
     if (!this->behind)
         this->behindSince = now;
@@ -137,7 +138,8 @@
 {
     std::vector<const Holder *> usable;
     for (const Holder &holder : holders) {
-        if (holder.sameZone == sameZone && !this->isAvoided(holder.id, now) && !this->isAsked(holder.id))
+        if (holder.sameZone == sameZone && !this->isAvoided(holder.id, now)
+            && !this->isPullingFrom(holder.id))
             usable.push_back(&holder);
     }
     if (usable.empty())
@@ -149,19 +151,19 @@
 bool PullPlan::isOpen(std::uint64_t number) const
 {
     return std::any_of(this->open.begin(), this->open.end(),
-                       [number](const Attempt &attempt) { return attempt.step.number == number; });
+                       [number](const OpenPull &pull) { return pull.step.number == number; });
 }
 
 std::vector<OverduePull> PullPlan::takeOverdue(Instant now)
 {
     std::vector<OverduePull> overdue;
-    for (Attempt &attempt : this->open) {
-        if (attempt.isOverdue || now < attempt.dueAt)
+    for (OpenPull &pull : this->open) {
+        if (pull.isOverdue || now < pull.dueAt)
             continue;
-        attempt.isOverdue = true;
-        if (attempt.step.source != PullSource::Platform)
-            this->avoid(attempt.step.holder.id, now);
-        overdue.push_back({attempt.step, now - attempt.begunAt});
+        pull.isOverdue = true;
+        if (pull.step.source != PullSource::Platform)
+            this->avoid(pull.step.holder.id, now);
+        overdue.push_back({pull.step, now - pull.begunAt});
     }
     return overdue;
 }
@@ -171,7 +173,7 @@
     if (!this->isOpen(number))
         return false;
     this->open.clear();
-    this->behind = false; // Nearer to the target, if not there.
+    this->behind = false; // Even if the pulled version is older than the target, it is closer.
     this->failures = 0;
     this->platformFailures = 0;
     if (this->deferred.version > this->target.version)
@@ -182,32 +184,31 @@
 
 bool PullPlan::failed(Instant now, std::uint64_t number, PullFailure failure, Duration retryAfter)
 {
-    const auto found = std::find_if(this->open.begin(), this->open.end(), [number](const Attempt &attempt) {
-        return attempt.step.number == number;
-    });
+    const auto found = std::find_if(this->open.begin(), this->open.end(),
+                                    [number](const OpenPull &pull) { return pull.step.number == number; });
     if (found == this->open.end())
         return false;
-    const PullStep attempt = found->step;
+    const PullStep pull = found->step;
     this->open.erase(found);
     ++this->failures;
     this->notBefore = now + std::max(retryAfter, this->backoff());
-    if (attempt.source == PullSource::Platform)
+    if (pull.source == PullSource::Platform)
         this->platformFailed(now, failure);
     else
-        this->peerFailed(now, attempt.holder.id, failure);
+        this->peerFailed(now, pull.holder.id, failure);
     return true;
 }
 
 void PullPlan::platformFailed(Instant now, PullFailure failure)
 {
     if (failure == PullFailure::Invalid) {
-        if (this->refused.size() >= maximumRefused)
-            this->refused.erase(this->refused.begin());
-        this->refused.push_back(this->target);
+        if (this->rejected.size() >= maximumRejected)
+            this->rejected.erase(this->rejected.begin());
+        this->rejected.push_back(this->target);
         return;
     }
     ++this->platformFailures;
-    const auto factor = std::int64_t{1} << std::min(this->platformFailures, largestShift);
+    const auto factor = std::int64_t{1} << std::min(this->platformFailures, maximumShift);
     this->platformNotBefore =
         now + std::min(this->settings.maximumBackoff * 4, this->settings.initialBackoff * 4 * factor);
 }
@@ -227,21 +228,21 @@
     this->avoided[id] = now + this->settings.peerAvoidance;
 }
 
-bool PullPlan::isRejected(const ConfigurationVersion &mark) const
+bool PullPlan::isRejected(const ConfigurationVersion &version) const
 {
-    return std::find(this->refused.begin(), this->refused.end(), mark) != this->refused.end();
+    return std::find(this->rejected.begin(), this->rejected.end(), version) != this->rejected.end();
 }
 
-bool PullPlan::isPlatformAsked() const
+bool PullPlan::isPullingFromPlatform() const
 {
     return std::any_of(this->open.begin(), this->open.end(),
-                       [](const Attempt &attempt) { return attempt.step.source == PullSource::Platform; });
+                       [](const OpenPull &pull) { return pull.step.source == PullSource::Platform; });
 }
 
-bool PullPlan::isAsked(const std::string &id) const
+bool PullPlan::isPullingFrom(const std::string &id) const
 {
     return std::any_of(this->open.begin(), this->open.end(),
-                       [&id](const Attempt &attempt) { return attempt.step.holder.id == id; });
+                       [&id](const OpenPull &pull) { return pull.step.holder.id == id; });
 }
 
 bool PullPlan::isAvoided(const std::string &id, Instant now) const
@@ -250,13 +251,13 @@
     return found != this->avoided.end() && now < found->second;
 }
 
-// Full jitter: nodes that were sent away together come back spread out.
+// Jittered, so that nodes rejected together do not retry together.
 Duration PullPlan::backoff()
 {
-    const auto factor = std::int64_t{1} << std::min(this->failures, largestShift);
-    const Duration longest = std::min(this->settings.maximumBackoff, this->settings.initialBackoff * factor);
-    std::uniform_real_distribution<double> share(0.2, 1);
-    return std::chrono::duration_cast<Duration>(longest * share(this->random));
+    const auto factor = std::int64_t{1} << std::min(this->failures, maximumShift);
+    const Duration maximum = std::min(this->settings.maximumBackoff, this->settings.initialBackoff * factor);
+    std::uniform_real_distribution<double> jitter(0.2, 1);
+    return std::chrono::duration_cast<Duration>(maximum * jitter(this->random));
 }
 
 std::uint64_t corroboratedVersion(std::vector<std::uint64_t> heldVersions)
--- a/Libraries/LibSpread/PullPlan.h
+++ b/Libraries/LibSpread/PullPlan.h
@@ -1,12 +1,13 @@
-// Where a node gets the content of the version that it wants, and when it asks.
+// Decides where and when a node pulls the content of a configuration version.
 //
-// Load: a change reaches 260 nodes of a zone within a second of each other, and a zone that lost power comes
-// back as one. Harm: all of them at the platform (822 reads for a whole site of 820 services) or at the first
-// peer that has it. So content comes from a zone peer that said that it holds it; whoever holds it serves a
-// bounded number at once and sends the others away for a moment, by when there are more holders. Other zones
-// come second. The platform is for the zone's first pollers, and for the rest only when nothing else helped
-// for seconds, one rank of each zone after the other (25 zones: 25 nodes a second): otherwise a version that
-// no poller could take, so that nobody holds it, would send the whole fleet to the platform.
+// A change reaches the 260 nodes of a zone within a second, and a zone that lost power restarts as a whole.
+// If all of them pulled from the platform (822 reads for a full site of 820 services) or from the first peer
+// that holds the version, they would overload it. A node therefore pulls from a peer in its zone that
+// reported the version; a peer serves a limited number of pulls at once and rejects the rest for a short
+// time, after which there are more holders. Other zones come second. The platform is for the zone's first
+// pollers. Other nodes ask it only after seconds without success, one rank of each zone at a time (25 zones:
+// 25 nodes per second); otherwise a version that no poller could read, and hence nobody holds, would send the
+// whole fleet there.
 #pragma once
 
 #include <LibCore/EnumNames.h>
@@ -31,10 +32,10 @@
 }};
 
 enum class PullFailure : std::uint8_t {
-    Busy,        // The peer serves others; come back in a moment.
-    Missing,     // The peer does not hold it after all.
-    Unreachable, // No connection, no answer in time, or a broken one.
-    Invalid,     // The content does not check; the held version stays.
+    Busy,        // The peer is at its limit; retry shortly.
+    Missing,     // The peer does not hold the version.
+    Unreachable, // No connection, no answer in time, or an incomplete one.
+    Invalid,     // The content failed validation; the held version stays in force.
 };
 
 inline constexpr EnumNames<PullFailure, 4> pullFailureNames{{
@@ -44,7 +45,7 @@
     {PullFailure::Invalid, "invalid"},
 }};
 
-// A peer that told that it holds at least the wanted version.
+// A peer that reported to hold at least the target version.
 struct Holder
 {
     std::string id;
@@ -54,12 +55,12 @@
 
 struct PullStep
 {
-    PullSource source = PullSource::None; // None: not now.
-    Holder holder;                        // For the peers.
+    PullSource source = PullSource::None; // None: nothing to do now.
+    Holder holder;                        // Set for peer sources.
     std::uint64_t number = 0;
 };
 
-// A pull that nobody has answered in time; it may still be answered.
+// A pull that was not answered in time; it may still be answered.
 struct OverduePull
 {
     PullStep step;
@@ -68,23 +69,24 @@
 
 struct PullSettings
 {
-    Duration pollerDelayPerRank = Milliseconds(1000); // A zone's second poller leaves the first this much.
+    Duration pollerDelayPerRank =
+        Milliseconds(1000); // Platform pulls of pollers after the first are delayed.
     Duration otherZonesDelay = Milliseconds(1500);
     Duration platformDelay = Milliseconds(5000);
-    Duration platformDelayPerRank = Milliseconds(1000); // Added once for each node that ranks before.
+    Duration platformDelayPerRank = Milliseconds(1000); // Added for each node with a lower rank.
     Duration initialBackoff = Milliseconds(50);
     Duration maximumBackoff = Milliseconds(5000);
     Duration peerAvoidance = Milliseconds(5000);
-    // After which a pull is overtaken by another. A change is some kilobytes.
+    // After this a pull is overdue and another may start. A delta is some kilobytes.
     Duration responseTimeout = Milliseconds(500);
-    // The same for a node that holds nothing. A whole site takes a second on a link of 5 Mbit/s.
+    // The same for a node that holds no version. A full site takes a second at 5 Mbit/s.
     Duration fullResponseTimeout = Milliseconds(2000);
-    // What the source itself told of is taken from it before peers are asked: it has the content already.
+    // A version that the source itself reported is pulled from it before peers: its content came along.
     bool platformFirst = false;
-    // What only peers told of is asked of the platform by those who may after this; until then a peer that
-    // holds it may turn up.
+    // Delay of platform pulls of a version that only peers reported, since a peer that holds it may yet turn
+    // up.
     Duration peersOnlyDuration{};
-    std::uint32_t platformPullers = 2; // Ranks that may ask the platform at once; equals the fast pollers.
+    std::uint32_t platformPullers = 2; // Ranks that may ask the platform early; equals the fast pollers.
 };
 
 class PullPlan
@@ -93,32 +95,28 @@
     PullPlan(PullSettings settings, std::uint64_t seed);
 
     // Commands.
-    void setTarget(const ConfigurationVersion &mark, Instant now); // Heard of from peers.
-    void sourceReported(const ConfigurationVersion &mark, Instant now);
-    // Only for a node that holds nothing: takes an older version first, and wants the newer one after it.
-    void setInterimTarget(const ConfigurationVersion &mark, Instant now);
-    // Begins an attempt when it names a source; succeeded() or failed() with its number must follow.
+    void setTarget(const ConfigurationVersion &version, Instant now); // Reported by peers.
+    void sourceReported(const ConfigurationVersion &version, Instant now);
+    // For a node that holds no version: pulls an older version first, and the newer target after it.
+    void setInterimTarget(const ConfigurationVersion &version, Instant now);
+    // Starts a pull if the step names a source; succeeded() or failed() with its number must follow.
     PullStep next(Instant now, std::uint64_t heldVersion, std::uint32_t rank,
                   const std::vector<Holder> &holders);
-    // Ends all attempts. False when another has done so before: its content is not needed any more.
+    // Ends all open pulls. False if the pull had ended already: its content is no longer needed.
     bool succeeded(std::uint64_t number);
-    // False when the attempt had ended already.
+    // False if the pull had ended already.
     bool failed(Instant now, std::uint64_t number, PullFailure failure, Duration retryAfter);
-    // Attempts that are overdue now and have not been named before; their peers are avoided for a while.
+    // Returns each overdue pull once. Its peer is avoided for a while.
     std::vector<OverduePull> takeOverdue(Instant now);
 
     // Queries.
     const ConfigurationVersion &targetVersion() const { return this->target; }
     bool hasOpenPulls() const { return !this->open.empty(); }
     bool isOpen(std::uint64_t number) const;
-    bool isRejected(const ConfigurationVersion &mark) const;
+    bool isRejected(const ConfigurationVersion &version) const;
 
 private:
-    void noteBehind(Instant now);
-    bool isPlatformAsked() const;
-    bool isAsked(const std::string &id) const;
-    bool isAvoided(const std::string &id, Instant now) const;
-    struct Attempt
+    struct OpenPull
     {
         PullStep step;
         Instant begunAt{};
@@ -126,6 +124,10 @@
         bool isOverdue = false;
     };
 
+    void markBehind(Instant now);
+    bool isPullingFromPlatform() const;
+    bool isPullingFrom(const std::string &id) const;
+    bool isAvoided(const std::string &id, Instant now) const;
     bool mayBegin(Instant now) const;
     PullStep choose(Instant now, std::uint64_t heldVersion, std::uint32_t rank,
                     const std::vector<Holder> &holders);
@@ -138,27 +140,28 @@
     PullSettings settings;
     std::mt19937_64 random;
     ConfigurationVersion target;
-    std::uint64_t reportedBySource = 0; // The newest version that the source itself reported.
-    ConfigurationVersion deferred;      // Wanted once the target is held; newer than it, or no version.
-    // When the node fell behind, or last came nearer to the target; from it the turns of other zones and of
-    // the platform are counted.
+    std::uint64_t reportedBySource = 0; // Newest version that the source itself reported.
+    ConfigurationVersion deferred;      // Next target once the current one is held; newer, or no version.
+    // When the node fell behind, or last came closer to the target. The delays for other zones and the
+    // platform count from here.
     Instant behindSince{};
     bool behind = false;
-    std::vector<Attempt> open; // Bounded; more than one only while all but the last are overdue.
+    std::vector<OpenPull> open; // Bounded; all but the last are overdue.
     std::uint64_t lastNumber = 0;
     Instant notBefore{};
     Instant platformNotBefore{};
-    std::uint32_t failures = 0;             // In a row.
-    std::uint32_t platformFailures = 0;     // In a row.
-    std::map<std::string, Instant> avoided; // Peers, until when.
-    // Versions whose content from the platform itself did not check; never asked for again. Bounded.
-    std::vector<ConfigurationVersion> refused;
-    bool peerContentInvalid = false; // A peer's copy of the target did not check: only the platform can tell.
+    std::uint32_t failures = 0;             // Consecutive.
+    std::uint32_t platformFailures = 0;     // Consecutive.
+    std::map<std::string, Instant> avoided; // End of the avoidance, by peer id.
+    // Versions whose content from the platform failed validation; never pulled again. Bounded.
+    std::vector<ConfigurationVersion> rejected;
+    bool peerContentInvalid = false; // A peer's copy failed validation; only the platform's copy decides.
 };
 
-// What a node without a configuration takes while the platform is out: the highest version that at least two
-// peers hold, or the only peer's. Zero when there is none. One peer alone could hold a version that was never
-// accepted by anyone else; two independent ones make that a fault of the head row, not of a node.
+// The version that a node without a configuration pulls while the platform is unavailable: the highest that
+// at least two peers hold, or the only peer's; zero: none. A version that a single peer holds may never have
+// been accepted by any other node; if two independent peers hold it, a fault would lie in the head row
+// instead.
 std::uint64_t corroboratedVersion(std::vector<std::uint64_t> heldVersions);
 
 } // namespace Sagecrank
--- a/Libraries/LibSpread/Rendezvous.cpp
+++ b/Libraries/LibSpread/Rendezvous.cpp
@@ -1,4 +1,4 @@
-// Ranking by hash.
+// Ranking by hash and by link bandwidth.
 #include <LibSpread/Rendezvous.h>
 
 #include <xxhash.h>
@@ -14,8 +14,8 @@
     return XXH3_64bits_withSeed(id.data(), id.size(), roleSeed);
 }
 
-// So many wide readers are enough: one may be restarted while the other reads.
-constexpr std::size_t enoughWideReaders = 2;
+// Two, so that one can read while the other restarts.
+constexpr std::size_t sufficientFastReaders = 2;
 
 } // namespace
 
@@ -36,19 +36,22 @@
 std::uint32_t platformReaderRank(std::string_view role, const PlatformReader &self,
                                  const std::vector<PlatformReader> &others, std::uint32_t readers)
 {
-    std::uint32_t widest = self.linkMbps;
+    std::uint32_t maximumMbps = self.linkMbps;
     for (const PlatformReader &other : others)
-        widest = std::max(widest, other.linkMbps);
-    const auto isWide = [widest](const PlatformReader &reader) { return 2 * reader.linkMbps >= widest; };
-    std::vector<std::string_view> wide;
-    std::vector<std::string_view> narrow;
+        maximumMbps = std::max(maximumMbps, other.linkMbps);
+    const auto isFast = [maximumMbps](const PlatformReader &reader) {
+        return 2 * reader.linkMbps >= maximumMbps;
+    };
+    std::vector<std::string_view> fast;
+    std::vector<std::string_view> slow;
     for (const PlatformReader &other : others)
-        (isWide(other) ? wide : narrow).push_back(other.id);
-    if (isWide(self))
-        return rendezvousRank(role, self.id, wide);
-    const auto before = static_cast<std::uint32_t>(wide.size());
-    const std::uint32_t first = wide.size() >= enoughWideReaders ? std::max(before, readers) : before;
-    return first + rendezvousRank(role, self.id, narrow);
+        (isFast(other) ? fast : slow).push_back(other.id);
+    if (isFast(self))
+        return rendezvousRank(role, self.id, fast);
+    const auto fastCount = static_cast<std::uint32_t>(fast.size());
+    const std::uint32_t first =
+        fast.size() >= sufficientFastReaders ? std::max(fastCount, readers) : fastCount;
+    return first + rendezvousRank(role, self.id, slow);
 }
 
 } // namespace Sagecrank
