--- a/Tests/LibSpread/TestHeadPoll.cpp
+++ b/Tests/LibSpread/TestHeadPoll.cpp
@@ -1,5 +1,5 @@
-// Reads of the head through outages of the source, in fake time: how soon after its return it is heard, and
-// what the reads cost it meanwhile.
+// Head reads during outages of the source, in simulated time: how soon its return is detected, and how many
+// reads it gets during the outage.
 #include <LibSpread/HeadPoll.h>
 
 #include <Support/TableTest.h>
@@ -17,15 +17,15 @@
 
 constexpr Duration tick = Milliseconds(5);
 constexpr Duration answerDelay = Milliseconds(5);
-constexpr Duration readTimeout = Milliseconds(2000); // Beyond the hold, as a client of the source has it.
+constexpr Duration readTimeout = Milliseconds(2000); // In addition to the hold, as in the source's client.
 
 enum class Outage : std::uint8_t {
-    Silent,   // Nothing is answered any more, also not later.
-    Refusing, // Each read fails at once, also those under way.
-    Blink,    // As silent, but only what is under way when it begins is lost.
+    Silent,   // Reads are never answered, even after the outage.
+    Refusing, // Each read fails at once, including those in flight.
+    Blink,    // Reads in flight at the start are never answered; new ones are.
 };
 
-// A source that holds reads for news, and an outage of it.
+// A source that supports long polls, with one outage.
 class FakeSource
 {
 public:
@@ -38,7 +38,7 @@
     };
 
     bool isOut(Instant now) const { return now >= this->outFrom && now < this->outTo; }
-    // The newest version; it rises when the outage ends.
+    // The newest version; increases when the outage ends.
     std::uint64_t version(Instant now) const { return now >= this->outTo ? 2 : 1; }
 
     Outage kind = Outage::Silent;
@@ -46,7 +46,7 @@
     Instant outTo;
 };
 
-// One poller and its reads at the source.
+// One poller and its reads in flight.
 class FakePoller
 {
 public:
@@ -59,12 +59,12 @@
     void advance(Instant now, const FakeSource &source)
     {
         for (FakeSource::Read &read : this->reads)
-            this->move(read, now, source);
+            this->advanceRead(read, now, source);
         std::erase_if(this->reads, [](const FakeSource::Read &read) { return read.ended; });
         if (now < this->poll.wakeAt())
             return;
         const HeadStep step = this->poll.next(now, this->self);
-        this->told += step.overdue.size();
+        this->countedFailures += step.overdue.size();
         if (!step.begin)
             return;
         ++this->begun;
@@ -76,12 +76,12 @@
     HeadPoller self;
     std::vector<FakeSource::Read> reads;
     std::uint64_t known = 0;
-    Instant knownAt{}; // When the newest version was read.
+    Instant knownAt{}; // Time at which the newest version was read.
     std::size_t begun = 0;
-    std::size_t told = 0; // Failures, each once.
+    std::size_t countedFailures = 0; // Failures that HeadPoll counted.
 
 private:
-    void move(FakeSource::Read &read, Instant now, const FakeSource &source)
+    void advanceRead(FakeSource::Read &read, Instant now, const FakeSource &source)
     {
         if (source.isOut(now) && read.begunAt < source.outFrom)
             read.lost = true;
@@ -89,7 +89,7 @@
         const bool refused = read.lost && source.kind == Outage::Refusing;
         if (refused || (read.lost && taken >= read.read.hold + readTimeout)) {
             read.ended = true;
-            this->told += this->poll.failed(now, this->self, read.read.number) ? 1 : 0;
+            this->countedFailures += this->poll.failed(now, this->self, read.read.number) ? 1 : 0;
             return;
         }
         const std::uint64_t newest = source.version(now);
@@ -104,8 +104,8 @@
     }
 };
 
-// As the pollers of a source that can wait have it.
-HeadPollSettings waitingSettings()
+// For a source that supports long polls.
+HeadPollSettings longPollSettings()
 {
     HeadPollSettings settings;
     settings.fastPollersPerZone = 3;
@@ -136,7 +136,7 @@
         }
     }
 
-    // How long after the return the first, and the last, of the pollers read the new version.
+    // Time from the return until the first, or the last, poller has read the new version.
     Duration firstAfterReturn() const { return this->firstKnown() - this->source.outTo; }
     Duration lastAfterReturn() const
     {
@@ -172,51 +172,51 @@
     {"silent for a moment", Outage::Silent, Milliseconds(50), Milliseconds(2000)},
     {"silent", Outage::Silent, Milliseconds(2000), Milliseconds(30000)},
     {"refusing", Outage::Refusing, Milliseconds(50), Milliseconds(30000)},
-    {"reads under way are lost", Outage::Blink, Milliseconds(5), Milliseconds(10)},
+    {"reads in flight are lost", Outage::Blink, Milliseconds(5), Milliseconds(10)},
 };
 
-constexpr std::uint64_t playsOfARow = 250;
+constexpr std::uint64_t runsPerRow = 250;
 
-// A change is in force everywhere two seconds after it was confirmed. Half a second of that is for telling
-// the zone and for the pulls of the others.
-constexpr Duration confirmedToRead = Milliseconds(1500);
+// A change must be in force everywhere two seconds after it was confirmed. Gossip in the zone and pulls by
+// the other nodes take half a second of that.
+constexpr Duration maximumFirstRead = Milliseconds(1500);
 
-// Each poller by itself, when no other could tell it.
-constexpr Duration longestDeafness = Milliseconds(3000);
+// For a single poller, without gossip from the others.
+constexpr Duration maximumLastRead = Milliseconds(3000);
 
 } // namespace
 
-// A caller is told 404 for a route that an operator added and saw confirmed seconds ago. The source was out;
-// the change is confirmed as it returns; each poller of the zone still waits for a read that the outage has
-// swallowed, and then for a pause that grew meanwhile. Log lines of such an outage of 8.2 s showed reads that
-// were begun up to 1.3 s before its end, given up after 4.0 s, and pauses of up to 1.5 s after them.
-TABLE_TEST(headPoll, aSourceThatReturnsIsHeardInTime, outageRows)
+// Guards against late detection of the source's return: a change is confirmed as the source returns, but
+// every poller of the zone still waits for a read lost in the outage, and then for a backoff that grew
+// meanwhile, so callers get 404 for the new route. In logs of an outage of 8.2 s, reads started up to 1.3 s
+// before its end timed out after 4.0 s and were followed by backoffs of up to 1.5 s.
+TABLE_TEST(headPoll, detectsReturnOfSourceInTime, outageRows)
 {
-    for (std::uint64_t seed = 1; seed <= playsOfARow; ++seed) {
+    for (std::uint64_t seed = 1; seed <= runsPerRow; ++seed) {
         std::mt19937_64 random(seed);
-        std::uniform_int_distribution<std::int64_t> lasts(row.shortest.count(), row.longest.count());
-        std::uniform_int_distribution<int> after(1000, 9000);
-        FakeZone zone(waitingSettings(), seed);
+        std::uniform_int_distribution<std::int64_t> outageTime(row.shortest.count(), row.longest.count());
+        std::uniform_int_distribution<int> startDelay(1000, 9000);
+        FakeZone zone(longPollSettings(), seed);
         zone.source.kind = row.kind;
-        zone.source.outFrom = zone.now + Milliseconds(after(random));
-        zone.source.outTo = zone.source.outFrom + Duration(lasts(random));
+        zone.source.outFrom = zone.now + Milliseconds(startDelay(random));
+        zone.source.outTo = zone.source.outFrom + Duration(outageTime(random));
         zone.runUntil(zone.source.outTo + seconds(8));
         const auto first = std::chrono::duration_cast<Milliseconds>(zone.firstAfterReturn()).count();
         const auto last = std::chrono::duration_cast<Milliseconds>(zone.lastAfterReturn()).count();
-        cr_assert(zone.firstAfterReturn() <= confirmedToRead, "%s, seed %lu: %ld ms", row.what, seed, first);
-        cr_assert(zone.lastAfterReturn() <= longestDeafness, "%s, seed %lu: %ld ms", row.what, seed, last);
+        cr_assert(zone.firstAfterReturn() <= maximumFirstRead, "%s, seed %lu: %ld ms", row.what, seed, first);
+        cr_assert(zone.lastAfterReturn() <= maximumLastRead, "%s, seed %lu: %ld ms", row.what, seed, last);
     }
 }
 
-// The pollers of 25 zones keep asking a source that does not answer. It must see no more of them than the 8%
-// of its two thousand reads a second that all head reads may take.
-Test(headPoll, anOutageCostsTheSourceLittle)
+// During an outage the pollers of 25 zones must not exceed the 8% of the source's two thousand reads per
+// second that head reads may use.
+Test(headPoll, readRateIsBoundedDuringOutage)
 {
     constexpr std::size_t zones = 25;
-    constexpr double mostReadsPerSecond = 160;
+    constexpr double maximumReadsPerSecond = 160;
     std::size_t begun = 0;
     for (std::uint64_t seed = 1; seed <= zones; ++seed) {
-        FakeZone zone(waitingSettings(), seed);
+        FakeZone zone(longPollSettings(), seed);
         zone.source.outFrom = zone.now;
         zone.source.outTo = zone.now + minutes(2);
         zone.runUntil(zone.source.outTo);
@@ -224,14 +224,14 @@
             begun += poller.begun;
     }
     const double perSecond = static_cast<double>(begun) / 120;
-    cr_assert(perSecond <= mostReadsPerSecond, "%f reads a second", perSecond);
+    cr_assert(perSecond <= maximumReadsPerSecond, "%f reads a second", perSecond);
 }
 
-// A whole fleet starts while the source is out. Each node takes itself for the first of its zone; were its
-// pace that of a poller, all of them would ask that often.
-Test(headPoll, aNodeThatKnowsNobodyAsksSeldom)
+// When a fleet starts during an outage, every node ranks itself first in its zone. Isolated nodes must
+// therefore retry less often than known fast pollers.
+Test(headPoll, isolatedNodeReadsRarely)
 {
-    HeadPollSettings settings = waitingSettings();
+    HeadPollSettings settings = longPollSettings();
     FakePoller node(settings, {0, false}, 7);
     FakeSource source;
     Instant now(std::chrono::hours(1));
@@ -240,15 +240,15 @@
     node.poll.start(now, true);
     for (; now < source.outTo; now += tick)
         node.advance(now, source);
-    const auto most = static_cast<std::size_t>(minutes(1) / settings.isolatedRetryInterval * 13 / 10);
-    cr_assert(node.begun <= most, "%zu reads", node.begun);
+    const auto maximumReads = static_cast<std::size_t>(minutes(1) / settings.isolatedRetryInterval * 13 / 10);
+    cr_assert(node.begun <= maximumReads, "%zu reads", node.begun);
 }
 
-// A read is overdue, is overtaken, and fails in the end, or is answered after all. The line for the log and
-// the count of failures must come once, and what was overtaken must not change the pace.
-Test(headPoll, anOvertakenReadCountsOnce)
+// An overdue read that was superseded later fails or is answered. It must count as one failure, and must not
+// change the time of the next read.
+Test(headPoll, supersededReadCountsOnce)
 {
-    const HeadPollSettings settings = waitingSettings();
+    const HeadPollSettings settings = longPollSettings();
     const HeadPoller self{0, true};
     HeadPoll poll(settings, 3);
     Instant now(std::chrono::hours(1));
@@ -268,12 +268,12 @@
     cr_assert(poll.wakeAt() == wake && poll.consecutiveFailures() == 0);
 }
 
-// All pollers of a zone lose their power for good at once, and no other zone is near to tell of changes. The
-// next in rank has looked a moment ago and meant to look again in a minute: changes come into force that much
-// later, unless its new rank wakes it.
-Test(headPoll, aNodeThatBecomesAPollerDoesNotSleepOn)
+// All fast pollers of a zone fail at once, and no other zone gossips changes. The next node in rank has just
+// read the head and would read again in a minute; changes would come into force that late unless its new rank
+// wakes it.
+Test(headPoll, newFastPollerReadsSoon)
 {
-    const HeadPollSettings settings = waitingSettings();
+    const HeadPollSettings settings = longPollSettings();
     HeadPoll poll(settings, 5);
     Instant now(std::chrono::hours(1));
     poll.start(now, true);
@@ -286,5 +286,5 @@
     cr_assert(poll.wakeAt() - now <= settings.fastInterval * 2);
     const Instant wake = poll.wakeAt();
     poll.rankChanged(now, {1, true});
-    cr_assert(poll.wakeAt() == wake, "once");
+    cr_assert(poll.wakeAt() == wake, "a further rank change moved the next read");
 }
--- a/Tests/LibSpread/TestSpread.cpp
+++ b/Tests/LibSpread/TestSpread.cpp
@@ -1,4 +1,5 @@
-// Who polls the head, whom a node pulls from, and how much of it reaches the platform and the peers.
+// Distribution of versions in a fleet: poller ranks, choice of pull sources, and load on the platform and
+// peers.
 #include <LibSpread/HeadPoll.h>
 #include <LibSpread/PullAdmission.h>
 #include <LibSpread/PullPlan.h>
@@ -18,8 +19,8 @@
 
 namespace {
 
-// Nodes of several zones that want one version, in fake time: each pull takes a while at its source, peers
-// serve a bounded number, and what was pulled is told to all after a delay, as gossip does.
+// Nodes of several zones that pull one version, in simulated time: each pull takes a while, peers limit their
+// concurrent pulls, and a node's new version is known to all others after a delay, as with gossip.
 class FakeFleet
 {
 public:
@@ -31,12 +32,12 @@
         std::unique_ptr<PullPlan> plan;
         std::unique_ptr<PullAdmission> admission;
         std::uint64_t held = 0;
-        Instant toldAt{};   // When the others know what it holds.
-        Instant pullEnds{}; // Of the pull under way.
+        Instant holderKnownAt{}; // When the other nodes learn that it holds the version.
+        Instant pullEnds{};      // Of the open pull.
         Node *server = nullptr;
-        std::uint64_t pull = 0; // Its number.
-        bool hears = false;     // Knows of the target.
-        Instant hearsAt{};
+        std::uint64_t pull = 0; // Number of the open pull.
+        bool knowsTarget = false;
+        Instant learnsTargetAt{};
     };
 
     FakeFleet(std::size_t zones, std::size_t perZone, std::uint64_t seed)
@@ -60,15 +61,15 @@
         }
     }
 
-    void announce(std::uint64_t version)
+    void publish(std::uint64_t version)
     {
         std::uniform_int_distribution<int> delay(0, 1500);
         this->version = version;
         for (Node &node : this->nodes)
-            node.hearsAt = this->now + Milliseconds(delay(this->random));
+            node.learnsTargetAt = this->now + Milliseconds(delay(this->random));
     }
 
-    std::size_t holding() const
+    std::size_t holderCount() const
     {
         return static_cast<std::size_t>(
             std::count_if(this->nodes.begin(), this->nodes.end(),
@@ -78,21 +79,21 @@
     void advance()
     {
         this->now += Milliseconds(10);
-        this->platformPullsNow = 0;
+        this->platformPullsInStep = 0;
         for (Node &node : this->nodes)
             this->finish(node);
         for (Node &node : this->nodes) {
-            if (this->now >= node.hearsAt)
+            if (this->now >= node.learnsTargetAt)
                 node.plan->setTarget({this->version, 1, 1}, this->now);
             this->begin(node);
-            this->mostServed = std::max(this->mostServed, node.admission->activeCount());
+            this->maximumServed = std::max(this->maximumServed, node.admission->activeCount());
         }
     }
 
     Duration runUntilAllHold(Duration limit)
     {
         const Instant begin = this->now;
-        while (this->now - begin < limit && this->holding() < this->nodes.size())
+        while (this->now - begin < limit && this->holderCount() < this->nodes.size())
             this->advance();
         return this->now - begin;
     }
@@ -103,24 +104,24 @@
     bool platformDown = false;
     bool contentInvalid = false;
     std::size_t platformPulls = 0;
-    std::size_t platformPullsNow = 0;
+    std::size_t platformPullsInStep = 0;
     std::size_t peerPulls = 0;
-    std::uint32_t mostServed = 0;
+    std::uint32_t maximumServed = 0;
 
 private:
-    std::vector<Holder> holders(const Node &asker)
+    std::vector<Holder> holders(const Node &puller)
     {
         std::vector<Holder> list;
         for (const Node &node : this->nodes) {
-            if (node.held >= this->version && this->now >= node.toldAt && &node != &asker)
-                list.push_back({node.id, "", node.zone == asker.zone});
+            if (node.held >= this->version && this->now >= node.holderKnownAt && &node != &puller)
+                list.push_back({node.id, "", node.zone == puller.zone});
         }
         return list;
     }
 
     void begin(Node &node)
     {
-        if (node.plan->hasOpenPulls() || node.held >= this->version || this->now < node.hearsAt)
+        if (node.plan->hasOpenPulls() || node.held >= this->version || this->now < node.learnsTargetAt)
             return;
         const PullStep step = node.plan->next(this->now, node.held, node.rank, this->holders(node));
         if (step.source == PullSource::None)
@@ -130,7 +131,7 @@
         node.server = nullptr;
         if (step.source == PullSource::Platform) {
             ++this->platformPulls;
-            ++this->platformPullsNow;
+            ++this->platformPullsInStep;
             return;
         }
         ++this->peerPulls;
@@ -158,7 +159,7 @@
         }
         node.plan->succeeded(node.pull);
         node.held = this->version;
-        node.toldAt = this->now + Milliseconds(200);
+        node.holderKnownAt = this->now + Milliseconds(200);
     }
 
     std::mt19937_64 random;
@@ -173,23 +174,23 @@
 
 const FleetRow fleetRows[] = {{3, 1, 4}, {3, 3, 4}, {4, 60, 4}, {2, 260, 4}, {4, 60, 0}, {2, 260, 0}};
 
-struct AgreedRow
+struct CorroborationRow
 {
     std::vector<std::uint64_t> held;
-    std::uint64_t agreed;
+    std::uint64_t expected;
 };
 
-const AgreedRow agreedRows[] = {{{}, 0},        {{0, 0}, 0},    {{7}, 7},
-                                {{9, 7, 7}, 7}, {{9, 9, 7}, 9}, {{9, 0, 0}, 9}};
+const CorroborationRow corroborationRows[] = {{{}, 0},        {{0, 0}, 0},    {{7}, 7},
+                                              {{9, 7, 7}, 7}, {{9, 9, 7}, 9}, {{9, 0, 0}, 9}};
 
 } // namespace
 
-TABLE_TEST(spread, aFreshNodeTakesWhatTwoPeersHold, agreedRows)
+TABLE_TEST(spread, corroboratedVersionNeedsTwoHolders, corroborationRows)
 {
-    cr_assert(corroboratedVersion(row.held) == row.agreed);
+    cr_assert(corroboratedVersion(row.held) == row.expected);
 }
 
-Test(spread, ranksAreAgreedAndMoveLittle)
+Test(spread, ranksAreUniqueAndStable)
 {
     std::vector<std::string> ids;
     for (int i = 0; i < 50; ++i)
@@ -208,39 +209,36 @@
         moved += rank - rendezvousRank("head#z1", id, others);
     }
     cr_assert(ranks.size() == 50);
-    cr_assert(moved < 50, "a leaving node moves only those that rank after it, by one");
+    cr_assert(moved < 50, "a leaving node must move only those that rank after it, by one");
 }
 
 struct ReaderRow
 {
     const char *what;
-    std::vector<std::uint32_t> links; // Of the nodes of one zone, in Mbit/s.
-    std::size_t wideReaders;          // Among the first three ranks.
-    std::size_t narrowReaders;
+    std::vector<std::uint32_t> links; // Of a zone's nodes, in Mbit/s; 0: unknown.
+    std::size_t fastReaders;          // Among the first three ranks.
+    std::size_t slowReaders;
 };
 
 const ReaderRow readerRows[] = {
-    {"all alike", {100, 100, 100, 100, 100}, 3, 0},
-    {"nobody tells", {0, 0, 0, 0, 0}, 3, 0},
-    {"nearly alike", {100, 60, 90, 55}, 3, 0},
-    {"two wide ones", {5, 5, 100, 5, 100, 5}, 2, 0},
-    {"one wide one and no second", {5, 5, 100, 5, 5}, 1, 2},
-    {"four wide ones", {5, 100, 100, 100, 100}, 3, 0},
-    {"one does not tell", {0, 100, 100, 100}, 3, 0},
+    {"equal links", {100, 100, 100, 100, 100}, 3, 0}, {"all links unknown", {0, 0, 0, 0, 0}, 3, 0},
+    {"similar links", {100, 60, 90, 55}, 3, 0},       {"two fast links", {5, 5, 100, 5, 100, 5}, 2, 0},
+    {"one fast link", {5, 5, 100, 5, 5}, 1, 2},       {"four fast links", {5, 100, 100, 100, 100}, 3, 0},
+    {"one link unknown", {0, 100, 100, 100}, 3, 0},
 };
 
-// A caller's request to a host with a link of 5 Mbit/s waits 270 ms behind the versions that this host reads
-// for its zone. They are read by hosts whose link is wide, as long as two of them live; otherwise by anybody,
-// since a zone that reads nothing stays behind. All nodes come to the same ranking.
-TABLE_TEST(spread, wideLinksReadThePlatform, readerRows)
+// Guards against calls to a host with a 5 Mbit/s link that wait 270 ms behind the versions it reads for its
+// zone. Hosts with fast links read them while two such hosts are present; otherwise any host does, since the
+// zone would fall behind. All nodes must compute the same ranking.
+TABLE_TEST(spread, fastLinksReadFromPlatform, readerRows)
 {
-    const std::uint32_t widest = *std::ranges::max_element(row.links);
+    const std::uint32_t maximumMbps = *std::ranges::max_element(row.links);
     std::vector<std::string> ids;
     for (std::size_t i = 0; i < row.links.size(); ++i)
         ids.push_back("n" + std::to_string(i));
     std::set<std::uint32_t> ranks;
-    std::size_t wide = 0;
-    std::size_t narrow = 0;
+    std::size_t fast = 0;
+    std::size_t slow = 0;
     for (std::size_t self = 0; self < ids.size(); ++self) {
         std::vector<PlatformReader> others;
         for (std::size_t other = 0; other < ids.size(); ++other) {
@@ -250,15 +248,15 @@
         const std::uint32_t rank = platformReaderRank("head#z1", {ids[self], row.links[self]}, others, 3);
         ranks.insert(rank);
         if (rank < 3)
-            ++(2 * row.links[self] >= widest ? wide : narrow);
+            ++(2 * row.links[self] >= maximumMbps ? fast : slow);
     }
     cr_assert(ranks.size() == ids.size(), "%s", row.what);
-    cr_assert(wide == row.wideReaders && narrow == row.narrowReaders, "%s", row.what);
+    cr_assert(fast == row.fastReaders && slow == row.slowReaders, "%s", row.what);
 }
 
-// 6,500 nodes in 25 zones read the head. Counted over ten minutes of their drawn delays, the table must see
-// a small part of its two thousand reads a second.
-Test(spread, headReadsOfTheWholeFleetAreBounded)
+// The head reads of 6,500 nodes in 25 zones, over ten minutes, must use only a small part of the two thousand
+// reads per second that the table offers.
+Test(spread, headReadRateOfFleetIsBounded)
 {
     double reads = 0;
     for (std::uint32_t node = 0; node < 6500; ++node) {
@@ -276,75 +274,73 @@
     cr_assert(perSecond > 100 && perSecond < 200, "%f reads a second", perSecond);
 }
 
-// A version reaches every node of a fleet, whether all hold its base or all are fresh. Callers wait for the
-// change; the platform must not be asked by more than the zones' pollers, and no peer may serve more than
-// its limit.
-TABLE_TEST(spread, aVersionReachesAllWithoutAStorm, fleetRows)
+// A version must reach every node quickly, whether all hold an older one or none, while only the pollers of
+// each zone ask the platform and no peer exceeds its limit of concurrent pulls.
+TABLE_TEST(spread, versionReachesAllNodesWithoutOverload, fleetRows)
 {
     FakeFleet fleet(row.zones, row.perZone, 5);
     for (auto &node : fleet.nodes)
         node.held = row.held;
-    fleet.announce(5);
-    const Duration took = fleet.runUntilAllHold(minutes(1));
-    cr_assert(took < seconds(7), "took longer than 7 s");
+    fleet.publish(5);
+    const Duration elapsed = fleet.runUntilAllHold(minutes(1));
+    cr_assert(elapsed < seconds(7), "took longer than 7 s");
     cr_assert(fleet.platformPulls <= row.zones * 2, "%zu pulls from the platform", fleet.platformPulls);
-    cr_assert(fleet.mostServed <= 8);
+    cr_assert(fleet.maximumServed <= 8);
     cr_assert(fleet.peerPulls <= fleet.nodes.size() * 3, "%zu pulls from peers", fleet.peerPulls);
 }
 
-// A zone of 260 lost power and comes back at once with nothing, while the other zone holds the version. The
-// platform must not be asked for 260 whole sites; the first nodes get it from the other zone, the rest from
-// those.
-Test(spread, aZoneThatReturnsDoesNotStormThePlatform)
+// A zone of 260 nodes restarts without any version while the other zone holds it. The first nodes must pull
+// from the other zone and the rest from them, instead of 260 full sites from the platform.
+Test(spread, returningZoneDoesNotOverloadPlatform)
 {
     FakeFleet fleet(2, 260, 6);
-    fleet.announce(5);
+    fleet.publish(5);
     for (auto &node : fleet.nodes) {
         if (node.zone == 0)
             node.held = 5;
     }
     cr_assert(fleet.runUntilAllHold(minutes(1)) < seconds(7));
     cr_assert(fleet.platformPulls == 0, "%zu pulls from the platform", fleet.platformPulls);
-    cr_assert(fleet.mostServed <= 8);
+    cr_assert(fleet.maximumServed <= 8);
 }
 
-// The platform is down while nobody holds the version. The nodes must go on with what they hold and ask ever
-// less often; nobody hears of a storm when the platform is back, and then all get the version.
-Test(spread, anOutageOfThePlatformIsWaitedOut)
+// While the platform is down and no node holds the version, retries must back off. When the platform returns,
+// all nodes must get the version.
+Test(spread, platformOutageBacksOffAndRecovers)
 {
     FakeFleet fleet(4, 60, 7);
     fleet.platformDown = true;
-    fleet.announce(5);
-    std::size_t most = 0;
+    fleet.publish(5);
+    std::size_t maximumPulls = 0;
     for (const Instant end = fleet.now + minutes(5); fleet.now < end;) {
         fleet.advance();
-        most = std::max(most, fleet.platformPullsNow);
+        maximumPulls = std::max(maximumPulls, fleet.platformPullsInStep);
     }
-    cr_assert(fleet.holding() == 0);
-    cr_assert(most <= 8, "%zu pulls in ten milliseconds", most);
+    cr_assert(fleet.holderCount() == 0);
+    cr_assert(maximumPulls <= 8, "%zu pulls in ten milliseconds", maximumPulls);
     fleet.platformDown = false;
     cr_assert(fleet.runUntilAllHold(minutes(2)) < seconds(30));
 }
 
-// A version was accepted whose content does not check at the nodes. Callers go on with the held version; no
-// node may ask for the bad one again and again, neither at peers nor at the platform.
-Test(spread, aBadVersionIsNotPulledAgainAndAgain)
+// An accepted version whose content fails validation at the nodes must not be pulled again and again, neither
+// from peers nor from the platform. The next valid version must be pulled as usual.
+Test(spread, invalidVersionIsNotPulledRepeatedly)
 {
     FakeFleet fleet(3, 20, 8);
     fleet.contentInvalid = true;
-    fleet.announce(5);
+    fleet.publish(5);
     for (const Instant end = fleet.now + minutes(10); fleet.now < end;)
         fleet.advance();
     cr_assert(fleet.platformPulls <= fleet.nodes.size(), "%zu pulls", fleet.platformPulls);
-    cr_assert(fleet.holding() == 0);
+    cr_assert(fleet.holderCount() == 0);
     fleet.contentInvalid = false;
-    fleet.announce(6);
-    cr_assert(fleet.runUntilAllHold(minutes(1)) < seconds(7), "the next good version was not taken");
+    fleet.publish(6);
+    cr_assert(fleet.runUntilAllHold(minutes(1)) < seconds(7), "the next valid version was not pulled");
 }
 
-// One peer's copy is damaged. The node must not call the version bad for everyone because of it: it asks the
-// platform, whose copy decides.
-Test(spread, aDamagedCopyOfAPeerIsNotTheVersionsFault)
+// A damaged copy of one peer must not mark the version as invalid: the node pulls it from the platform, whose
+// copy decides.
+Test(spread, damagedPeerCopyDoesNotRejectVersion)
 {
     PullPlan plan({}, 9);
     Instant now(std::chrono::hours(1));
@@ -361,7 +357,7 @@
     cr_assert(plan.isRejected({5, 1, 1}));
 }
 
-Test(spread, neverBack)
+Test(spread, targetNeverDecreases)
 {
     PullPlan plan({}, 10);
     const Instant now(std::chrono::hours(1));
@@ -371,9 +367,9 @@
     cr_assert(plan.next(now, 5, 0, {}).source == PullSource::None);
 }
 
-// A host is replaced while the platform is out; the newest version was accepted but nobody could read it. The
-// new node must serve with the version that its peers hold, and take the newest when it appears.
-Test(spread, aFreshNodeSettlesForAnOlderVersionAndThenMovesOn)
+// A host is replaced while the platform is down and no node holds the newest accepted version. The new node
+// must serve with the version that its peers hold, and pull the newest once it is available.
+Test(spread, newNodePullsInterimVersionFirst)
 {
     PullPlan plan({}, 11);
     const Instant now(std::chrono::hours(1));
