--- a/Libraries/LibSpread/PullPlan.h
+++ b/Libraries/LibSpread/PullPlan.h
@@ -116,6 +116,10 @@
     bool isRejected(const ConfigurationVersion &version) const;
 
 private:
+    void markBehind(Instant now);
+    bool isPullingFromPlatform() const;
+    bool isPullingFrom(const std::string &id) const;
+    bool isAvoided(const std::string &id, Instant now) const;
     struct OpenPull
     {
         PullStep step;
@@ -124,10 +128,6 @@
         bool isOverdue = false;
     };
 
-    void markBehind(Instant now);
-    bool isPullingFromPlatform() const;
-    bool isPullingFrom(const std::string &id) const;
-    bool isAvoided(const std::string &id, Instant now) const;
     bool mayBegin(Instant now) const;
     PullStep choose(Instant now, std::uint64_t heldVersion, std::uint32_t rank,
                     const std::vector<Holder> &holders);
@@ -146,7 +146,7 @@
     // platform count from here.
     Instant behindSince{};
     bool behind = false;
-    std::vector<OpenPull> open; // Bounded; all but the last are overdue.
+    std::vector<OpenPull> open; // Bounded; more than one only if all but the last are overdue.
     std::uint64_t lastNumber = 0;
     Instant notBefore{};
     Instant platformNotBefore{};
