--- a/Libraries/LibSource/ClaimSettler.cpp
+++ b/Libraries/LibSource/ClaimFinalizer.cpp
@@ -1,5 +1,5 @@
-// Background settling of claims: see ClaimSettler.h.
-#include <LibSource/ClaimSettler.h>
+// Background settling of claims: see ClaimFinalizer.h.
+#include <LibSource/ClaimFinalizer.h>
 
 #include <algorithm>
 
--- a/Libraries/LibSource/ClaimSettler.h
+++ b/Libraries/LibSource/ClaimFinalizer.h
@@ -4,7 +4,7 @@
 #pragma once
 
 #include <LibSource/ClaimRow.h>
-#include <LibSource/PutGrouper.h>
+#include <LibSource/PutBatcher.h>
 
 #include <map>
 #include <set>
--- a/Libraries/LibSource/ClaimKeeper.cpp
+++ b/Libraries/LibSource/ClaimManager.cpp
@@ -1,5 +1,5 @@
-// Claims of idempotency keys: see ClaimKeeper.h, and ClaimRow.h for the states of a row.
-#include <LibSource/ClaimKeeper.h>
+// Claims of idempotency keys: see ClaimManager.h, and ClaimRow.h for the states of a row.
+#include <LibSource/ClaimManager.h>
 
 #include <algorithm>
 
--- a/Libraries/LibSource/ClaimKeeper.h
+++ b/Libraries/LibSource/ClaimManager.h
@@ -6,10 +6,10 @@
 // advance() when nextWake() has come. The table must not call back from inside a call of its port.
 #pragma once
 
-#include <LibSource/Circuit.h>
+#include <LibSource/CircuitBreaker.h>
+#include <LibSource/ClaimFinalizer.h>
 #include <LibSource/ClaimRow.h>
-#include <LibSource/ClaimSettler.h>
-#include <LibSource/PutGrouper.h>
+#include <LibSource/PutBatcher.h>
 
 #include <map>
 #include <set>
--- a/Libraries/LibSource/HeadWriter.h
+++ b/Libraries/LibSource/HeadWriter.h
@@ -9,7 +9,7 @@
 #pragma once
 
 #include <LibSource/Head.h>
-#include <LibSource/WithRetries.h>
+#include <LibSource/Retry.h>
 
 #include <functional>
 
--- a/Libraries/LibSource/ObjectWriter.h
+++ b/Libraries/LibSource/ObjectWriter.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include <LibSource/Ports.h>
-#include <LibSource/WithRetries.h>
+#include <LibSource/Retry.h>
 
 #include <map>
 
--- a/Libraries/LibSource/Publisher.h
+++ b/Libraries/LibSource/Publisher.h
@@ -9,7 +9,7 @@
 #include <LibConfig/SourceFiles.h>
 #include <LibSource/HeadWriter.h>
 #include <LibSource/Ports.h>
-#include <LibSource/WithRetries.h>
+#include <LibSource/Retry.h>
 
 #include <optional>
 
--- a/Libraries/LibSource/PutGrouper.cpp
+++ b/Libraries/LibSource/PutBatcher.cpp
@@ -1,5 +1,5 @@
-// Grouping of puts: see PutGrouper.h.
-#include <LibSource/PutGrouper.h>
+// Grouping of puts: see PutBatcher.h.
+#include <LibSource/PutBatcher.h>
 
 #include <algorithm>
 
--- a/Services/Node/Gate/ClaimHooks.h
+++ b/Services/Node/Gate/ClaimHooks.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include <LibCore/Time.h>
-#include <LibSource/ClaimKeeper.h>
+#include <LibSource/ClaimManager.h>
 
 #include <functional>
 #include <string>
--- a/Tests/LibSource/ClaimBench.h
+++ b/Tests/LibSource/ClaimFixture.h
@@ -1,7 +1,7 @@
 // Several gates with a claim keeper each, in front of one fake table: what the tests of claims run.
 #pragma once
 
-#include <LibSource/ClaimKeeper.h>
+#include <LibSource/ClaimManager.h>
 #include <LibSource/FakePlatform.h>
 
 #include <memory>
--- a/Tests/LibSource/TestClaimRuns.cpp
+++ b/Tests/LibSource/TestClaimRuns.cpp
@@ -1,6 +1,6 @@
 // Many keys, gates and faults at once, from a seed: whatever the table loses, delays or refuses and whoever
 // dies or pauses, no key runs twice and "not run" is always true.
-#include <LibSource/ClaimBench.h>
+#include <LibSource/ClaimFixture.h>
 #include <Support/TableTest.h>
 
 #include <map>
--- a/Tests/LibSource/TestClaims.cpp
+++ b/Tests/LibSource/TestClaims.cpp
@@ -1,5 +1,5 @@
 // One failure of claims at a time: what the caller is told, and whether the call may start.
-#include <LibSource/ClaimBench.h>
+#include <LibSource/ClaimFixture.h>
 #include <Support/TableTest.h>
 
 #include <deque>
--- a/Utilities/ConfigBench/Platform.cpp
+++ b/Utilities/ConfigBench/Platform.cpp
@@ -2,7 +2,7 @@
 #include "Bench.h"
 
 #include <LibPlatform/PlatformClient.h>
-#include <LibSource/ClaimKeeper.h>
+#include <LibSource/ClaimManager.h>
 #include <LibSource/Publisher.h>
 
 #include <boost/asio/steady_timer.hpp>
--- a/Utilities/Ctl/Session.h
+++ b/Utilities/Ctl/Session.h
@@ -4,7 +4,7 @@
 
 #include <LibNet/HttpClient.h>
 #include <LibPlatform/PlatformClient.h>
-#include <LibSource/WithRetries.h>
+#include <LibSource/Retry.h>
 
 #include <boost/asio/io_context.hpp>
 
