--- a/Libraries/LibSource/CircuitBreaker.h
+++ b/Libraries/LibSource/CircuitBreaker.h
@@ -1,6 +1,5 @@
-// Decides whether a call to the platform is worth trying. Load: an outage or a slow platform while keyed
-// calls keep coming. Harm prevented: every call would wait for its own timeout, hold memory, and be refused
-// late. Runs without a clock.
+// Circuit breaker for requests to the platform. During an outage it rejects keyed calls immediately; without
+// it, each of them would hold memory until its own timeout. Has no clock; the caller passes the time.
 #pragma once
 
 #include <LibCore/Time.h>
@@ -12,10 +11,10 @@
 
 struct CircuitBreakerSettings
 {
-    // Single lost answers are ordinary; five in a row without one success between them are an outage.
+    // A single lost response is normal; this many consecutive failures indicate an outage.
     std::uint32_t failuresToOpen = 5;
-    // One probe per interval: at 6,500 nodes the first interval is 26,000 probes a second, more than the
-    // platform takes, so it doubles up to five seconds, which is 1,300.
+    // While open, one probe is sent per interval. With 6,500 nodes, 250 ms means 26,000 probes per second,
+    // more than the platform can serve, so the interval doubles up to 5 s, which means 1,300.
     Milliseconds initialProbeInterval{250};
     Milliseconds maximumProbeInterval{5000};
 };
@@ -29,7 +28,7 @@
     {
     }
 
-    // True when the call may go out. While open, one call per interval may: the probe.
+    // Returns whether a request may be sent. While open, allows one probe per interval.
     bool allowRequest(Instant now)
     {
         if (!this->open)
@@ -53,7 +52,7 @@
         if (!this->open && this->consecutiveFailures < this->settings.failuresToOpen)
             return;
         if (this->open && now < this->openedAt + this->probeInterval)
-            return; // A call from before the opening; only a failed probe lengthens the interval.
+            return; // Sent before the breaker opened. Only a failed probe lengthens the interval.
         if (this->open)
             this->probeInterval = std::min(this->probeInterval * 2, this->settings.maximumProbeInterval);
         this->open = true;
@@ -63,13 +62,13 @@
 
     bool isOpen() const { return this->open; }
 
-    // When the next probe may go out; in the past when the circuit is closed.
+    // When the next probe is allowed; in the past while the breaker is closed.
     Instant nextProbeAt() const { return this->nextProbe; }
 
 private:
     const CircuitBreakerSettings settings;
     bool open = false;
-    std::uint32_t consecutiveFailures = 0; // In a row.
+    std::uint32_t consecutiveFailures = 0;
     Milliseconds probeInterval;
     Instant openedAt;
     Instant nextProbe;
--- a/Libraries/LibSource/ClaimFinalizer.cpp
+++ b/Libraries/LibSource/ClaimFinalizer.cpp
@@ -1,15 +1,16 @@
-// Background settling of claims: see ClaimFinalizer.h.
+// Implements the background writes of finished claims; see ClaimFinalizer.h.
 #include <LibSource/ClaimFinalizer.h>
 
 #include <algorithm>
 
 namespace Sagecrank {
 
-ClaimFinalizer::ClaimFinalizer(TablePort tablePort, PutBatcher &putBatcher, FinalizerSettings settlerSettings,
-                               std::function<Instant()> nowHook, FinishedCallback onFinishedHook)
+ClaimFinalizer::ClaimFinalizer(TablePort tablePort, PutBatcher &putBatcher,
+                               FinalizerSettings finalizerSettings, std::function<Instant()> nowHook,
+                               FinishedCallback onFinishedHook)
     : table(std::move(tablePort))
     , batcher(putBatcher)
-    , settings(settlerSettings)
+    , settings(finalizerSettings)
     , now(std::move(nowHook))
     , onFinished(std::move(onFinishedHook))
 {
@@ -51,8 +52,8 @@
     if (found == this->pending.end())
         return;
     this->batcher.add(found->second.put,
-                      [this, id, isAlive = std::weak_ptr(this->alive)](const Result<void> &result) {
-                          if (!isAlive.expired())
+                      [this, id, weakAlive = std::weak_ptr(this->alive)](const Result<void> &result) {
+                          if (!weakAlive.expired())
                               this->handleResult(id, result);
                       });
 }
@@ -66,18 +67,18 @@
     this->retryLater(id);
 }
 
-// The condition failed: either an earlier copy of the put took effect and its answer was lost, or the row is
-// another attempt's. Only the row says which.
+// The condition failed: either an earlier copy of the put took effect and its response was lost, or the row
+// belongs to another attempt. Only the row tells which.
 void ClaimFinalizer::readBack(Id id)
 {
     const auto found = this->pending.find(id);
     if (found == this->pending.end())
         return;
-    this->table.get(found->second.put.row.key,
-                    [this, id, isAlive = std::weak_ptr(this->alive)](const Result<std::optional<Row>> &row) {
-                        if (!isAlive.expired())
-                            this->handleReadBack(id, row);
-                    });
+    this->table.get(found->second.put.row.key, [this, id, weakAlive = std::weak_ptr(this->alive)](
+                                                   const Result<std::optional<Row>> &row) {
+        if (!weakAlive.expired())
+            this->handleReadBack(id, row);
+    });
 }
 
 void ClaimFinalizer::handleReadBack(Id id, const Result<std::optional<Row>> &row)
@@ -89,7 +90,7 @@
         return this->retryLater(id);
     const std::optional<Row> &existing = row.assume_value();
     if (found->second.put.condition.matches(existing))
-        return this->retryLater(id); // It changed between the put and the read.
+        return this->retryLater(id); // The row changed between the put and the read.
     this->finish(id, existing == found->second.put.row);
 }
 
--- a/Libraries/LibSource/ClaimFinalizer.h
+++ b/Libraries/LibSource/ClaimFinalizer.h
@@ -1,6 +1,7 @@
-// Brings the end of a claim into the table in the background: the outcome of a call that ran, or the release
-// of one that did not. Retries with backoff until the put is known to have taken effect, within bounds of
-// number and time. Nobody waits for it; if it never succeeds, the key answers "unknown" from then on.
+// Writes the end of a claim to the table in the background: the outcome of a call that ran, or the release of
+// one that did not. Retries with backoff until the put is known to have taken effect, up to a limit of
+// pending puts and of time. Nothing waits for it; if it never succeeds, the key answers "unknown" from then
+// on.
 #pragma once
 
 #include <LibSource/ClaimRow.h>
@@ -13,10 +14,10 @@
 
 struct FinalizerSettings
 {
-    // Load: an outage while calls end. Each waiting put holds up to 4 KiB of body, so 1,024 are at most 4 MiB
-    // of a node's 32 MB.
+    // Limits memory when calls end during an outage. Each pending put holds up to 4 KiB of body, so 1,024 use
+    // at most 4 MiB of a node's 32 MB.
     std::size_t maximumWaiting = 1024;
-    Milliseconds giveUpAfter{60000}; // Outlives ordinary hiccups; a caller rarely retries later than that.
+    Milliseconds giveUpAfter{60000}; // Longer than usual disruptions; callers rarely retry later than this.
     Milliseconds firstRetry{50};
     Milliseconds maximumRetry{5000};
 };
@@ -24,28 +25,25 @@
 struct FinalizerCounters
 {
     std::uint64_t written = 0;
-    std::uint64_t abandoned = 0; // Keys that answer "unknown" though more was known here.
+    std::uint64_t abandoned = 0; // Keys that answer "unknown" although this node knew the result.
 };
 
 class ClaimFinalizer
 {
 public:
-    // Whether the put is in the table, said once per put.
+    // Invoked once per put; `inTable` tells whether the put took effect.
     using FinishedCallback = std::function<void(const std::string &key, bool inTable)>;
 
     ClaimFinalizer(TablePort table, PutBatcher &batcher, FinalizerSettings settings,
                    std::function<Instant()> now, FinishedCallback onFinished);
 
-    // `claim` names key and attempt; `put` is one of releasePut or recordPut. False when too many wait, which
-    // counts as given up.
+    // `claim` provides key and attempt; `put` comes from releasePut() or recordPut(). Returns false if too
+    // many puts are pending, which counts as abandoned.
     bool add(const ClaimRow &claim, ConditionalPut put);
 
     void advance();
     std::optional<Instant> nextDue() const;
-    bool awaitingResponse() const
-    {
-        return this->pending.size() > this->retries.size();
-    } // An answer of the table.
+    bool awaitingResponse() const { return this->pending.size() > this->retries.size(); }
     std::size_t pendingCount() const { return this->pending.size(); }
     const FinalizerCounters &counters() const { return this->counts; }
 
@@ -73,7 +71,7 @@
     const std::function<Instant()> now;
     const FinishedCallback onFinished;
     std::map<Id, PendingPut> pending;         // At most maximumWaiting.
-    std::set<std::pair<Instant, Id>> retries; // Those that wait for their next try and are not under way.
+    std::set<std::pair<Instant, Id>> retries; // Puts without a request in flight, by time of retry.
     Id lastId = 0;
     FinalizerCounters counts;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
--- a/Libraries/LibSource/ClaimManager.cpp
+++ b/Libraries/LibSource/ClaimManager.cpp
@@ -1,4 +1,4 @@
-// Claims of idempotency keys: see ClaimManager.h, and ClaimRow.h for the states of a row.
+// Implements claims of idempotency keys; see ClaimManager.h, and ClaimRow.h for the states of a row.
 #include <LibSource/ClaimManager.h>
 
 #include <algorithm>
@@ -10,7 +10,7 @@
     , settings(claimSettings)
     , clocks(std::move(claimClocks))
     , batcher(tablePort, claimSettings.batching, this->clocks.now)
-    , circuit(claimSettings.circuit)
+    , circuitBreaker(claimSettings.circuitBreaker)
     , finalizer(std::move(tablePort), this->batcher, claimSettings.finalizing, this->clocks.now,
                 [this](const std::string &key, bool) { this->eraseEntry(key); })
 {
@@ -28,7 +28,7 @@
         refusal = "deadline_passed";
     else if (this->deadlines.size() >= this->settings.maximumWaiting)
         refusal = "too_many_claims_wait";
-    else if (!this->circuit.allowRequest(current))
+    else if (!this->circuitBreaker.allowRequest(current))
         refusal = "claims_table_down";
     if (refusal != nullptr) {
         this->countDecision(ClaimDecision::NotRun);
@@ -98,8 +98,9 @@
         sooner(this->deadlines.begin()->first);
     if (!this->retries.empty())
         sooner(this->retries.begin()->first);
-    // An answer that is awaited may make something due, and the owner is not told when it comes. Without
-    // this, a retry after a lost answer would wait for the owner's next visit, up to the caller's deadline.
+    // A pending response may schedule new work, and the owner is not notified when it arrives. Without this
+    // wake-up, a retry after a lost response would wait for the owner's next call, up to the caller's
+    // deadline.
     const bool awaiting = this->deadlines.size() > this->retries.size() || this->finalizer.awaitingResponse();
     if (awaiting)
         sooner(this->clocks.now() + this->settings.firstRetry);
@@ -114,21 +115,21 @@
     return all;
 }
 
-// A second attempt at the node that has to do with the first one. No request is needed, and none could say
-// more than is known here.
+// A second attempt reached the node that handles the first one. No request is needed, since the table cannot
+// know more than this node.
 void ClaimManager::respondLocally(const Entry &entry, const ClaimCallback &callback)
 {
-    ClaimResponse answer;
-    answer.reason = "key_in_use";
-    answer.retryAfter = this->settings.defaultRetryAfter;
-    answer.decision = ClaimDecision::InProgress;
+    ClaimResponse response;
+    response.reason = "key_in_use";
+    response.retryAfter = this->settings.defaultRetryAfter;
+    response.decision = ClaimDecision::InProgress;
     if (entry.phase == Phase::Recording) {
-        answer.decision = ClaimDecision::AlreadyDone;
-        answer.outcome = entry.outcome;
-        answer.retryAfter = {};
+        response.decision = ClaimDecision::AlreadyDone;
+        response.outcome = entry.outcome;
+        response.retryAfter = {};
     }
-    this->countDecision(answer.decision);
-    callback(answer);
+    this->countDecision(response.decision);
+    callback(response);
 }
 
 void ClaimManager::sendRequest(Entry &entry)
@@ -144,8 +145,8 @@
     entry.inFlight = true;
     this->batcher.add(claimPut(entry.claim, entry.previousAttempt),
                       [this, key = entry.claim.key, attempt = entry.claim.attempt,
-                       isAlive = std::weak_ptr(this->alive)](const Result<void> &result) {
-                          if (!isAlive.expired())
+                       weakAlive = std::weak_ptr(this->alive)](const Result<void> &result) {
+                          if (!weakAlive.expired())
                               this->handlePutResult(key, attempt, result);
                       });
 }
@@ -155,8 +156,8 @@
     entry.inFlight = true;
     this->table.get(claimKey(entry.claim.key),
                     [this, key = entry.claim.key, attempt = entry.claim.attempt,
-                     isAlive = std::weak_ptr(this->alive)](const Result<std::optional<Row>> &result) {
-                        if (!isAlive.expired())
+                     weakAlive = std::weak_ptr(this->alive)](const Result<std::optional<Row>> &result) {
+                        if (!weakAlive.expired())
                             this->handleReadResult(key, attempt, result);
                     });
 }
@@ -166,12 +167,12 @@
 {
     const ErrorKind kind = result ? ErrorKind::Internal : result.assume_error().kind;
     if (result || kind == ErrorKind::Conflict)
-        this->circuit.recordSuccess();
+        this->circuitBreaker.recordSuccess();
     else
-        this->circuit.recordFailure(this->clocks.now());
+        this->circuitBreaker.recordFailure(this->clocks.now());
     Entry *entry = this->findClaiming(key, attempt);
     if (entry == nullptr)
-        return; // Answered at its deadline; the release is under way.
+        return; // The caller was answered at its deadline; the release is in progress.
     entry->inFlight = false;
     if (result)
         return this->grant(*entry);
@@ -179,9 +180,9 @@
         return this->sendRead(*entry);
     if (kind != ErrorKind::Timeout)
         return this->refuse(*entry, "claims_table_down");
-    // The claim may stand, may land later, or may be lost. Nothing is said until the row tells.
+    // The claim may be in the table, may take effect later, or may be lost. Only the row tells which.
     entry->mayHaveTakenEffect = true;
-    if (this->circuit.isOpen())
+    if (this->circuitBreaker.isOpen())
         return this->refuse(*entry, "claims_table_down");
     this->sendRead(*entry);
 }
@@ -190,16 +191,16 @@
                                     const Result<std::optional<Row>> &result)
 {
     if (result)
-        this->circuit.recordSuccess();
+        this->circuitBreaker.recordSuccess();
     else
-        this->circuit.recordFailure(this->clocks.now());
+        this->circuitBreaker.recordFailure(this->clocks.now());
     Entry *entry = this->findClaiming(key, attempt);
     if (entry == nullptr)
         return;
     entry->inFlight = false;
-    // Load: a table that drops connections, under callers with long deadlines. Waiting them out would hold
-    // the callers back for an answer that is clear by now.
-    if (!result && this->circuit.isOpen())
+    // When the table drops connections, callers with long deadlines are rejected now instead of waiting for
+    // a result that is already certain.
+    if (!result && this->circuitBreaker.isOpen())
         return this->refuse(*entry, "claims_table_down");
     if (!result)
         return this->retryLater(*entry, true);
@@ -208,8 +209,8 @@
 
 void ClaimManager::resolveFromRow(Entry &entry, const std::optional<Row> &row)
 {
-    // Absent after a lost answer does not mean that the put failed: it may still be on its way. The same put
-    // is sent again, which takes effect once however many copies land.
+    // A missing row after a lost response does not mean that the put failed; it may still be in transit. The
+    // same put is sent again. It takes effect at most once, however many copies arrive.
     if (!row) {
         entry.previousAttempt.reset();
         return this->retryLater(entry, false);
@@ -221,7 +222,7 @@
         return this->resolveOtherAttempt(entry, existing.assume_value());
     if (existing.assume_value().state == ClaimState::Claimed)
         return this->grant(entry);
-    // Attempts are unique, so no one else can have ended this one.
+    // Attempts are unique, so no other attempt can have ended this one.
     this->complete(entry, {ClaimDecision::Unknown, {}, {}, "attempt_used_twice"});
 }
 
@@ -237,12 +238,12 @@
     if (wall >= existing.deadline)
         return this->complete(entry, {ClaimDecision::Unknown, {}, {}, "earlier_attempt_never_ended"});
     const Duration remaining = Milliseconds(existing.deadline - wall);
-    const Duration patience = std::min<Duration>(remaining, this->settings.defaultRetryAfter);
-    this->complete(entry, {ClaimDecision::InProgress, {}, patience, "key_in_use"});
+    const Duration retryAfter = std::min<Duration>(remaining, this->settings.defaultRetryAfter);
+    this->complete(entry, {ClaimDecision::InProgress, {}, retryAfter, "key_in_use"});
 }
 
-// A process that was paused wakes after the call's deadline and finds its claim confirmed. Its caller has
-// been told "not run" or has gone; starting now would run a call that nobody waits for and may have repeated.
+// A process that was paused may resume after the call's deadline and find its claim confirmed. The caller has
+// been told "not run" or has disconnected, and may have retried, so the call must not start.
 void ClaimManager::grant(Entry &entry)
 {
     if (this->clocks.now() >= entry.deadline) {
@@ -264,29 +265,30 @@
     this->retries.insert({entry.retryAt, entry.claim.key});
 }
 
-// Ends as "not run": true whatever becomes of the put, since the call has not started and this attempt never
-// will. A put that may stand or land later is fenced by a release, so that the key is not stuck.
+// Answers "not run". This is true whatever happens to the put, since the call has not started and this
+// attempt never will. If the put may have taken effect or still may, a release fences it so that the key does
+// not stay claimed.
 void ClaimManager::refuse(Entry &entry, const char *reason)
 {
-    const ClaimResponse answer = this->notRunResponse(reason);
+    const ClaimResponse response = this->notRunResponse(reason);
     if (!entry.mayHaveTakenEffect && !entry.inFlight)
-        return this->complete(entry, answer);
+        return this->complete(entry, response);
     this->deadlines.erase({entry.deadline, entry.claim.key});
     this->retries.erase({entry.retryAt, entry.claim.key});
     const ClaimCallback callback = std::move(entry.callback);
-    this->countDecision(answer.decision);
+    this->countDecision(response.decision);
     this->startRelease(entry);
-    callback(answer);
+    callback(response);
 }
 
-void ClaimManager::complete(Entry &entry, const ClaimResponse &answer)
+void ClaimManager::complete(Entry &entry, const ClaimResponse &response)
 {
     this->deadlines.erase({entry.deadline, entry.claim.key});
     this->retries.erase({entry.retryAt, entry.claim.key});
     const ClaimCallback callback = std::move(entry.callback);
     this->entries.erase(std::string(entry.claim.key));
-    this->countDecision(answer.decision);
-    callback(answer);
+    this->countDecision(response.decision);
+    callback(response);
 }
 
 void ClaimManager::startRelease(Entry &entry)
@@ -320,8 +322,8 @@
 ClaimResponse ClaimManager::notRunResponse(const char *reason) const
 {
     Duration wait = this->settings.defaultRetryAfter;
-    if (this->circuit.isOpen())
-        wait = std::max<Duration>(wait, this->circuit.nextProbeAt() - this->clocks.now());
+    if (this->circuitBreaker.isOpen())
+        wait = std::max<Duration>(wait, this->circuitBreaker.nextProbeAt() - this->clocks.now());
     return {ClaimDecision::NotRun, {}, wait, reason};
 }
 
@@ -346,13 +348,13 @@
     }
 }
 
-// A caller is never held past its deadline: it gets its final answer now, and the table is tidied behind it.
+// A caller is never held past its deadline. It gets its final answer now and the release follows in the
+// background.
 void ClaimManager::expireDeadlines(Instant current)
 {
     while (!this->deadlines.empty() && this->deadlines.begin()->first <= current) {
         Entry &entry = this->entries.at(this->deadlines.begin()->second);
-        this->circuit.recordFailure(
-            current); // A table that does not answer by the deadline is as good as down.
+        this->circuitBreaker.recordFailure(current); // A table that misses the deadline counts as down.
         this->refuse(entry, "claims_table_slow");
     }
 }
--- a/Libraries/LibSource/ClaimManager.h
+++ b/Libraries/LibSource/ClaimManager.h
@@ -1,9 +1,10 @@
-// At most once per idempotency key, across attempts through any node. An attempt claims its key in the
-// platform's table before its call leaves the gate. The first claim that takes effect wins for good; nothing
-// ever takes it from a holder that may have run, so a paused or dead holder cannot lead to a second run.
+// Runs a call at most once per idempotency key, across attempts through any node. An attempt claims its key
+// in the platform's table before its call is sent to an upstream. The first claim to take effect wins
+// permanently. It is never taken from an attempt that may have run, so a paused or crashed process cannot
+// cause a second run.
 //
-// Runs without sockets. One thread uses it, and the same thread runs the table's callbacks; the owner calls
-// advance() when nextWake() has come. The table must not call back from inside a call of its port.
+// Performs no I/O of its own. Must be used from a single thread, which also runs the table's callbacks. The
+// owner calls advance() at nextWake(). The table must not invoke a callback from within a call to its port.
 #pragma once
 
 #include <LibSource/CircuitBreaker.h>
@@ -18,11 +19,11 @@
 namespace Sagecrank {
 
 enum class ClaimDecision : std::uint8_t {
-    Granted,     // The call may start now, and must end with finish, release or leaveUnknown.
-    AlreadyDone, // An earlier attempt ran; its outcome comes along.
-    InProgress,  // An earlier attempt may be running within its deadline.
-    Unknown,     // An earlier attempt may have run; its end was never recorded. Never runs again.
-    NotRun,      // This attempt did not run and never will; come back after retryAfter.
+    Granted,     // The call may start and must end with finish(), release() or leaveUnknown().
+    AlreadyDone, // An earlier attempt ran; its outcome is included.
+    InProgress,  // An earlier attempt may be running and its deadline has not passed.
+    Unknown,     // An earlier attempt may have run, but no result was recorded. The key never runs again.
+    NotRun,      // This attempt did not run and never will. Retry after retryAfter.
 };
 
 inline constexpr EnumNames<ClaimDecision, 5> claimDecisionNames{{
@@ -38,7 +39,7 @@
     ClaimDecision decision = ClaimDecision::NotRun;
     RecordedOutcome outcome; // Only for AlreadyDone.
     Duration retryAfter{};   // Positive for InProgress and NotRun.
-    std::string reason;      // For logs and the caller's header, such as "claims_table_down".
+    std::string reason;      // For logs and the response header, such as "claims_table_down".
 };
 
 using ClaimCallback = std::function<void(const ClaimResponse &)>;
@@ -46,21 +47,22 @@
 struct ClaimSettings
 {
     BatcherSettings batching;
-    CircuitBreakerSettings circuit;
+    CircuitBreakerSettings circuitBreaker;
     FinalizerSettings finalizing;
-    // Load: a slow table under many keyed calls. Beyond it a claim is refused at once; at 2,000 claims a
-    // second and a table that takes half a second, 1,000 wait.
+    // Limits pending claims while the table is slow; further claims are rejected immediately. At 2,000 claims
+    // per second and a table latency of half a second, 1,000 are pending.
     std::size_t maximumWaiting = 1024;
-    Milliseconds firstRetry{20}; // After a lost answer; doubles up to maximumRetry.
+    Milliseconds firstRetry{20}; // After a lost response; doubles up to maximumRetry.
     Milliseconds maximumRetry{500};
-    Milliseconds defaultRetryAfter{200};    // For a refused caller when nothing better is known.
-    std::chrono::hours rowLifetime{7 * 24}; // How long a key is remembered; later attempts would run anew.
+    Milliseconds defaultRetryAfter{200};    // Sent to rejected callers when there is no better estimate.
+    std::chrono::hours rowLifetime{7 * 24}; // After this, a key is forgotten and may run again.
 };
 
 struct ClaimClocks
 {
     std::function<Instant()> now;
-    std::function<std::uint64_t()> wallMilliseconds; // Since 1970. Labels and row expiry only, never order.
+    // Unix time; only for labels and row expiry, never for ordering.
+    std::function<std::uint64_t()> wallMilliseconds;
 };
 
 struct ClaimCounters
@@ -80,28 +82,27 @@
 public:
     ClaimManager(TablePort table, ClaimSettings settings, ClaimClocks clocks);
 
-    // `attempt` is unique among all attempts of all nodes. The callback is called once: at once when the
-    // answer is known here, otherwise from the table's callback or from advance(), and by the deadline.
+    // `attempt` must be unique across all attempts of all nodes. The callback is invoked exactly once and no
+    // later than the deadline: immediately if the result is known locally, otherwise from a table callback or
+    // from advance().
     void claim(const std::string &key, const std::string &attempt, Instant deadline, ClaimCallback callback);
 
-    // The ends of a granted claim; others are ignored.
+    // These end a granted claim. Calls for any other attempt are ignored.
     void finish(const std::string &key, const std::string &attempt, RecordedOutcome outcome);
-    void release(const std::string &key, const std::string &attempt); // It provably did not run.
+    void release(const std::string &key, const std::string &attempt); // The call provably did not run.
     void leaveUnknown(const std::string &key, const std::string &attempt);
 
     void advance();
     std::optional<Instant> nextWake() const;
 
     ClaimCounters counters() const;
-    std::size_t pendingFinalizations() const
-    {
-        return this->finalizer.pendingCount();
-    } // Ends not yet in the table.
+    // Outcomes and releases that are not yet in the table.
+    std::size_t pendingFinalizations() const { return this->finalizer.pendingCount(); }
 
 private:
     enum class Phase : std::uint8_t { Claiming, Running, Recording, Releasing };
 
-    // What this node knows of a key that it has to do with now.
+    // Local state of a key with a claim that has not ended.
     struct Entry
     {
         ClaimRow claim;
@@ -109,9 +110,9 @@
         Instant deadline;
         ClaimCallback callback;                     // Only in Claiming.
         std::optional<std::string> previousAttempt; // Released attempt that is being taken over.
-        bool mayHaveTakenEffect = false;            // A put left whose effect is not known.
-        bool inFlight = false;                      // A request is out; otherwise `retryAt` counts.
-        bool readFirst = false;                     // The next request reads the row, rather than putting it.
+        bool mayHaveTakenEffect = false;            // A put was sent whose effect is unknown.
+        bool inFlight = false;                      // A request is pending; otherwise `retryAt` applies.
+        bool readFirst = false;                     // The next request reads the row instead of putting it.
         Instant retryAt;
         Milliseconds backoff{};
         RecordedOutcome outcome; // Only in Recording.
@@ -130,7 +131,7 @@
     void grant(Entry &entry);
     void retryLater(Entry &entry, bool readFirst);
     void refuse(Entry &entry, const char *reason);
-    void complete(Entry &entry, const ClaimResponse &answer);
+    void complete(Entry &entry, const ClaimResponse &response);
     void startRelease(Entry &entry);
     void eraseEntry(const std::string &key);
     Entry *findClaiming(const std::string &key, const std::string &attempt);
@@ -143,10 +144,10 @@
     const ClaimSettings settings;
     const ClaimClocks clocks;
     PutBatcher batcher;
-    CircuitBreaker circuit;
+    CircuitBreaker circuitBreaker;
     Entries entries;
     std::set<std::pair<Instant, std::string>> deadlines; // Of entries in Claiming.
-    std::set<std::pair<Instant, std::string>> retries;   // Of entries in Claiming with no request out.
+    std::set<std::pair<Instant, std::string>> retries;   // Of entries in Claiming with no pending request.
     ClaimFinalizer finalizer;
     ClaimCounters counts;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
--- a/Libraries/LibSource/ClaimRow.cpp
+++ b/Libraries/LibSource/ClaimRow.cpp
@@ -1,11 +1,11 @@
-// Rows of claims and the puts between their states: see ClaimRow.h.
+// Implements claim rows and the puts between their states; see ClaimRow.h.
 #include <LibSource/ClaimRow.h>
 
 namespace Sagecrank {
 
 namespace {
 
-// Named claim_state and not state, because the table service reserves that word.
+// Not "state", which is a reserved word of the table service.
 constexpr auto stateAttribute = "claim_state";
 
 Attributes attemptInState(const std::string &attempt, ClaimState state)
@@ -13,7 +13,7 @@
     return {{"attempt", attempt}, {stateAttribute, std::string(claimStateNames.name(state))}};
 }
 
-// Whether the text is UTF-8, which is all that a text attribute can hold.
+// Text attributes of the table can only hold UTF-8.
 bool isUtf8(const std::string &text)
 {
     std::size_t following = 0;
@@ -84,7 +84,8 @@
 {
     ClaimRow next = claim;
     next.state = ClaimState::Claimed;
-    // The row as this very put left it is allowed, so that the put may be repeated when its answer is lost.
+    // Also matches the row as this put itself leaves it, so that it can be repeated when its response is
+    // lost.
     PutCondition condition{!previous, {attemptInState(claim.attempt, ClaimState::Claimed)}};
     if (previous)
         condition.anyOf.push_back(attemptInState(*previous, ClaimState::Released));
--- a/Libraries/LibSource/Head.cpp
+++ b/Libraries/LibSource/Head.cpp
@@ -1,4 +1,4 @@
-// Head and history rows, and the reading of versions: see Head.h.
+// Implements head and history rows and reading versions; see Head.h.
 #include <LibSource/Head.h>
 
 #include <cstdio>
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::size_t sortDigits = 20; // As many as the largest 64-bit number has.
+constexpr std::size_t sortDigits = 20; // Decimal digits of the largest 64-bit number.
 
 std::string sortKey(std::uint64_t version)
 {
@@ -135,7 +135,7 @@
         Result<VersionManifest> manifest = decodeVersionManifest(bytes.assume_value(), head.digest);
         if (manifest && manifest.assume_value().version != head.version)
             return callback(makeError(ErrorKind::InvalidInput, "read version manifest", "object store",
-                                      "the manifest is of another version than the head"));
+                                      "the manifest's version differs from the head's"));
         callback(std::move(manifest));
     };
     this->objects.get(manifestObjectName(head.version, head.publishId), finish);
@@ -160,7 +160,7 @@
         };
         return this->objects.get(siteObjectName(reference.digest), finish);
     }
-    callback(makeError(ErrorKind::NotFound, "read site", site, "the version has no such site"));
+    callback(makeError(ErrorKind::NotFound, "read site", site, "the version does not contain this site"));
 }
 
 void VersionReader::section(const Digest &digest, BytesCallback callback) const
--- a/Libraries/LibSource/Head.h
+++ b/Libraries/LibSource/Head.h
@@ -1,4 +1,4 @@
-// The head row, which says what version is accepted, and the history rows beside it.
+// The head row, which names the accepted version, and one history row for each version.
 #pragma once
 
 #include <LibConfig/Model.h>
@@ -25,8 +25,8 @@
     Digest digest;
     std::string publishId;
     std::string operatorName;
-    std::uint64_t acceptedAt = 0;   // Seconds since 1970 by the operator's clock; for people only.
-    std::uint64_t rolledBackTo = 0; // The version whose content this repeats; zero when it is new content.
+    std::uint64_t acceptedAt = 0;   // Unix seconds by the operator's clock; for display only.
+    std::uint64_t rolledBackTo = 0; // The version whose content a rollback restored; otherwise zero.
 
     bool operator==(const HistoryEntry &) const = default;
 };
@@ -38,11 +38,11 @@
 Row headRow(const Head &head);
 Row historyRow(const HistoryEntry &entry);
 
-// No row means that nothing was published yet: a head of version zero.
+// Without a row nothing has been published yet, and the head has version zero.
 Result<Head> parseHead(const std::optional<Row> &row);
 Result<HistoryEntry> parseHistory(const Row &row);
 
-// Reads the accepted version. One read of the table.
+// Reads the accepted version and its history. Each call is one read of the table.
 class HeadReader
 {
 public:
@@ -55,7 +55,7 @@
     TablePort table;
 };
 
-// Reads the content of a version that a head names, checking every digest on the way.
+// Reads the content of the version that a head names and verifies every digest.
 class VersionReader
 {
 public:
@@ -63,11 +63,11 @@
 
     void manifest(const Head &head, std::function<void(Result<VersionManifest>)> callback) const;
 
-    // The site's section list under the version's number. NotFound when the version has no such site.
+    // Reads the site's section list. NotFound if the version does not contain the site.
     void site(const VersionManifest &manifest, const std::string &site,
               std::function<void(Result<SiteManifest>)> callback) const;
 
-    // One section's bytes, proved by its digest.
+    // Reads one section and verifies its digest.
     void section(const Digest &digest, BytesCallback callback) const;
 
 private:
--- a/Libraries/LibSource/HeadWriter.cpp
+++ b/Libraries/LibSource/HeadWriter.cpp
@@ -1,4 +1,4 @@
-// The move of the head: see HeadWriter.h.
+// Implements the transaction that advances the head; see HeadWriter.h.
 #include <LibSource/HeadWriter.h>
 
 #include <algorithm>
@@ -11,10 +11,10 @@
 class HeadUpdate : public std::enable_shared_from_this<HeadUpdate>
 {
 public:
-    HeadUpdate(TablePort port, Scheduler laterHook, RetryPolicy retryPolicy, const Head &fromHead,
+    HeadUpdate(TablePort port, Scheduler schedulerHook, RetryPolicy retryPolicy, const Head &fromHead,
                const HistoryEntry &nextEntry, PublishCallback done)
         : table(std::move(port))
-        , later(std::move(laterHook))
+        , scheduler(std::move(schedulerHook))
         , policy(retryPolicy)
         , from(fromHead)
         , next(nextEntry)
@@ -49,7 +49,7 @@
                 return this->readBack();
             }
             if (isRetryable(this->lastError.kind))
-                return this->retry([](HeadUpdate &move) { move.send(); });
+                return this->retry([](HeadUpdate &update) { update.send(); });
             return this->giveUp();
         }
         const TransactionResult &outcomes = result.assume_value();
@@ -59,13 +59,14 @@
         if (std::all_of(outcomes.begin(), outcomes.end(), is(PutOutcome::Applied)))
             return this->report(PublishOutcome::Accepted);
         if (std::any_of(outcomes.begin(), outcomes.end(), is(PutOutcome::ConditionFailed))) {
-            // The head is no longer where it was: another operator won, or an earlier copy of this very
-            // transaction did. Only the rows tell which.
+            // The head has changed: either another operator won, or an earlier copy of this transaction took
+            // effect. Only the rows tell which.
             this->headMoved = true;
             return this->readBack();
         }
-        this->lastError = makeError(ErrorKind::Refused, "move head", "table", "busy with other writes");
-        this->retry([](HeadUpdate &move) { move.send(); });
+        this->lastError =
+            makeError(ErrorKind::Refused, "move head", "table", "conflicting writes in progress");
+        this->retry([](HeadUpdate &update) { update.send(); });
     }
 
     void readBack()
@@ -80,19 +81,19 @@
         const Result<Head> head = row ? parseHead(row.assume_value()) : Result<Head>(row.assume_error());
         if (!head) {
             this->lastError = head.assume_error();
-            return this->retry([](HeadUpdate &move) { move.readBack(); });
+            return this->retry([](HeadUpdate &update) { update.readBack(); });
         }
         if (head.assume_value().publishId == this->next.publishId)
             return this->report(PublishOutcome::Accepted);
-        // Not there yet, but a copy that is still under way may land. Sending it again settles it: one of the
-        // copies takes effect, or all find that the head has moved.
+        // The head is unchanged, but a copy in transit may still take effect. Sending it again resolves this:
+        // either one copy takes effect, or all of them find that the head has changed.
         if (head.assume_value() == this->from)
-            return this->retry([](HeadUpdate &move) { move.send(); });
+            return this->retry([](HeadUpdate &update) { update.send(); });
         this->headMoved = true;
         this->readWinner();
     }
 
-    // Every accepted version has its history row, so the row of this number says whose it became.
+    // Every accepted version has a history row, so the row of this version tells who published it.
     void readWinner()
     {
         this->table.get(historyKey(this->next.version),
@@ -105,7 +106,7 @@
     {
         if (!row) {
             this->lastError = row.assume_error();
-            return this->retry([](HeadUpdate &move) { move.readWinner(); });
+            return this->retry([](HeadUpdate &update) { update.readWinner(); });
         }
         const std::optional<Row> &existing = row.assume_value();
         const Result<HistoryEntry> entry =
@@ -115,7 +116,7 @@
                                                  "no row of version " + std::to_string(this->next.version)));
         if (!entry) {
             this->lastError = entry.assume_error();
-            return this->retry([](HeadUpdate &move) { move.readWinner(); });
+            return this->retry([](HeadUpdate &update) { update.readWinner(); });
         }
         if (entry.assume_value().publishId == this->next.publishId)
             return this->report(PublishOutcome::Accepted);
@@ -131,7 +132,7 @@
         --this->policy.attempts;
         const Milliseconds wait = this->policy.backoff;
         this->policy.backoff = std::min(this->policy.backoff * 2, this->policy.maximumBackoff);
-        this->later(wait, [self = this->shared_from_this(), step] { step(*self); });
+        this->scheduler(wait, [self = this->shared_from_this(), step] { step(*self); });
     }
 
     void giveUp()
@@ -140,8 +141,8 @@
             return this->report(PublishOutcome::Unknown);
         if (!this->headMoved)
             return this->report(PublishOutcome::Failed);
-        // The condition failed on the only copies that were sent and answered: another operator won, and who
-        // it was could not be read.
+        // Every copy that was sent was answered and failed its condition, so another operator won, but the
+        // winner could not be read.
         this->winner.version = this->next.version;
         this->report(PublishOutcome::Conflict);
     }
@@ -152,12 +153,12 @@
     }
 
     const TablePort table;
-    const Scheduler later;
-    RetryPolicy policy; // What is left of it.
+    const Scheduler scheduler;
+    RetryPolicy policy; // With the remaining attempts and the next backoff.
     const Head from;
     const HistoryEntry next;
     const PublishCallback callback;
-    bool mayHaveTakenEffect = false; // A copy was sent whose effect is not known.
+    bool mayHaveTakenEffect = false; // A copy was sent whose effect is unknown.
     bool headMoved = false;          // A condition failed, or another head was read.
     HistoryEntry winner;
     Error lastError;
@@ -165,10 +166,11 @@
 
 } // namespace
 
-void advanceHead(TablePort table, Scheduler later, RetryPolicy policy, const Head &from,
+void advanceHead(TablePort table, Scheduler scheduler, RetryPolicy policy, const Head &from,
                  const HistoryEntry &next, PublishCallback callback)
 {
-    std::make_shared<HeadUpdate>(std::move(table), std::move(later), policy, from, next, std::move(callback))
+    std::make_shared<HeadUpdate>(std::move(table), std::move(scheduler), policy, from, next,
+                                 std::move(callback))
         ->send();
 }
 
--- a/Libraries/LibSource/HeadWriter.h
+++ b/Libraries/LibSource/HeadWriter.h
@@ -1,11 +1,11 @@
-// Moves the head row from one version to the next, exactly once or not at all, and knows afterwards which.
-// The head and the history row of the new version are one transaction.
+// Advances the head row to the next version at most once and determines whether it took effect. The head and
+// the history row of the new version are written in one transaction.
 //
-// Failure: the transaction takes effect and its answer is lost. Symptom without care: an operator is told
-// "refused", publishes again, and two versions are in force one after the other; or is told "accepted" though
-// another operator won. Why this is enough: the transaction is conditional on the head that was seen, so it
-// can be sent any number of times and takes effect at most once; and the history row carries the publish id,
-// which tells whose version it was even after the head has moved on.
+// The transaction may take effect although its response is lost. Reporting a failure then would make the
+// operator publish again, and two versions would be in force one after the other; reporting success might be
+// wrong because another operator won. The transaction is conditional on the head that was read, so it can be
+// repeated and takes effect at most once. The history row contains the publish id, so it tells who published
+// a version even after the head has advanced further.
 #pragma once
 
 #include <LibSource/Head.h>
@@ -16,10 +16,10 @@
 namespace Sagecrank {
 
 enum class PublishOutcome : std::uint8_t {
-    Accepted, // The head moved to this version; it is in force within seconds and never reverts.
+    Accepted, // The head advanced to this version. It takes effect within seconds and is never undone.
     Conflict, // Another version was accepted first; this one never will be.
-    Failed,   // Nothing took effect and nothing will.
-    Unknown,  // Not known, and it may still take effect. History tells by publish id.
+    Failed,   // Nothing took effect or ever will.
+    Unknown,  // It may have taken effect or still may. The history tells by publish id.
 };
 
 inline constexpr EnumNames<PublishOutcome, 4> publishOutcomeNames{{
@@ -32,16 +32,16 @@
 struct PublishResult
 {
     PublishOutcome outcome = PublishOutcome::Failed;
-    std::uint64_t version = 0; // Accepted: the new one. Otherwise the one that was tried, or zero.
+    std::uint64_t version = 0; // The version accepted or attempted, or zero.
     std::string publishId;
-    HistoryEntry winner; // Conflict: who won. Its operator is empty when only the version is known.
-    Error error;         // Failed and Unknown: why.
+    HistoryEntry winner; // Conflict: the accepted version. Has no operator if only the version is known.
+    Error error;         // Failed and Unknown: the cause.
 };
 
 using PublishCallback = std::function<void(const PublishResult &)>;
 
-// Stays alive until its callback has been called. `next` is the version after `from`.
-void advanceHead(TablePort table, Scheduler later, RetryPolicy policy, const Head &from,
+// The operation keeps itself alive until it has invoked the callback. `next` is the version after `from`.
+void advanceHead(TablePort table, Scheduler scheduler, RetryPolicy policy, const Head &from,
                  const HistoryEntry &next, PublishCallback callback);
 
 } // namespace Sagecrank
--- a/Libraries/LibSource/ObjectWriter.cpp
+++ b/Libraries/LibSource/ObjectWriter.cpp
@@ -1,4 +1,4 @@
-// Bounded writing of objects: see ObjectWriter.h.
+// Implements writing objects with bounded concurrency; see ObjectWriter.h.
 #include <LibSource/ObjectWriter.h>
 
 #include <memory>
@@ -7,8 +7,8 @@
 
 namespace {
 
-// At 5 ms a write, 8 under way are 1,600 writes a second at most, and the platform's own limit slows the
-// rest.
+// At 5 ms per write, 8 concurrent writes are at most 1,600 per second; the platform's own limit throttles
+// them further.
 constexpr std::size_t maximumInFlightWrites = 8;
 
 class ObjectWriteOperation : public std::enable_shared_from_this<ObjectWriteOperation>
@@ -17,7 +17,7 @@
     ObjectWriteOperation(ObjectPort port, Scheduler schedulerHook, RetryPolicy retryPolicy,
                          NamedObjects objects, WriteCallback done)
         : objectPort(std::move(port))
-        , later(std::move(schedulerHook))
+        , scheduler(std::move(schedulerHook))
         , policy(retryPolicy)
         , remaining(std::move(objects))
         , callback(std::move(done))
@@ -42,10 +42,10 @@
     {
         ++this->inFlight;
         const auto shared = std::make_shared<NamedObjects::node_type>(std::move(object));
-        const auto put = [self = this->shared_from_this(), shared](WriteCallback answer) {
-            self->objectPort.put(shared->key(), shared->mapped(), std::move(answer));
+        const auto put = [self = this->shared_from_this(), shared](WriteCallback onWritten) {
+            self->objectPort.put(shared->key(), shared->mapped(), std::move(onWritten));
         };
-        withRetries<void>(this->policy, this->later, put,
+        withRetries<void>(this->policy, this->scheduler, put,
                           [self = this->shared_from_this()](Result<void> result) {
                               --self->inFlight;
                               if (!result && !self->failure)
@@ -55,20 +55,20 @@
     }
 
     const ObjectPort objectPort;
-    const Scheduler later;
+    const Scheduler scheduler;
     const RetryPolicy policy;
     NamedObjects remaining;
-    WriteCallback callback; // Empty once it has been called.
+    WriteCallback callback; // Empty after it has been invoked.
     std::size_t inFlight = 0;
     std::optional<Error> failure;
 };
 
 } // namespace
 
-void writeObjects(const ObjectPort &objects, const Scheduler &later, RetryPolicy policy, NamedObjects all,
+void writeObjects(const ObjectPort &objects, const Scheduler &scheduler, RetryPolicy policy, NamedObjects all,
                   WriteCallback callback)
 {
-    std::make_shared<ObjectWriteOperation>(objects, later, policy, std::move(all), std::move(callback))
+    std::make_shared<ObjectWriteOperation>(objects, scheduler, policy, std::move(all), std::move(callback))
         ->next();
 }
 
--- a/Libraries/LibSource/ObjectWriter.h
+++ b/Libraries/LibSource/ObjectWriter.h
@@ -1,5 +1,5 @@
-// Writes many objects with a bounded number under way, so that a publish of a whole mesh does not take the
-// platform's several hundred writes a second away from the keyed calls.
+// Writes many objects with bounded concurrency, so that publishing a whole mesh leaves keyed calls their
+// share of the several hundred writes per second that the platform allows.
 #pragma once
 
 #include <LibSource/Ports.h>
@@ -11,9 +11,9 @@
 
 using NamedObjects = std::map<std::string, ObjectBytes>;
 
-// Each object is tried as the plan says; the first that fails for good is the answer. Writing an object twice
-// does no harm, since its name says its content.
-void writeObjects(const ObjectPort &objects, const Scheduler &later, RetryPolicy policy, NamedObjects all,
+// Retries each object as the policy allows and reports the first error that remains. Writing an object twice
+// is harmless, since its name determines its content.
+void writeObjects(const ObjectPort &objects, const Scheduler &scheduler, RetryPolicy policy, NamedObjects all,
                   WriteCallback callback);
 
 } // namespace Sagecrank
--- a/Libraries/LibSource/Ports.cpp
+++ b/Libraries/LibSource/Ports.cpp
@@ -1,4 +1,4 @@
-// Access to the attributes of a row: see Ports.h.
+// Implements row attributes and put conditions; see Ports.h.
 #include <LibSource/Ports.h>
 
 #include <algorithm>
--- a/Libraries/LibSource/Ports.h
+++ b/Libraries/LibSource/Ports.h
@@ -1,8 +1,8 @@
-// The platform as the parts that decide see it: a transactional table and an object store behind hooks. The
-// hooks are asynchronous; a part that uses them runs without sockets, and a test answers them by hand.
+// Interfaces to the platform's transactional table and object store. They are asynchronous functions, so code
+// that uses them needs no sockets and tests can supply the responses.
 //
-// Every answer says what took effect. A value: it did. Unavailable, Refused, Conflict, TooLarge or
-// InvalidInput: nothing did. Timeout: not known, and it may still take effect after the answer was given up.
+// Every result tells whether the request took effect. A value: it did. Unavailable, Refused, Conflict,
+// TooLarge or InvalidInput: it did not. Timeout: unknown, and it may still take effect later.
 #pragma once
 
 #include <LibConfig/Encoding.h>
@@ -39,22 +39,22 @@
     RowKey key;
     Attributes attributes;
 
-    // Null when the attribute is absent or of the other type.
+    // Null if the attribute is absent or has the other type.
     const std::string *text(const std::string &name) const;
     const std::uint64_t *number(const std::string &name) const;
 
     bool operator==(const Row &) const = default;
 };
 
-// What must hold of the row that stands under the key for a put to take effect. One of them is enough; with
-// none, the put is unconditional.
+// Condition on the existing row for a put to take effect. Any one of the alternatives suffices; without any,
+// the put is unconditional.
 struct PutCondition
 {
-    bool absent = false;           // No row stands there.
-    std::vector<Attributes> anyOf; // Every attribute of one of these sets has the value given.
+    bool absent = false;           // There is no row.
+    std::vector<Attributes> anyOf; // The row has all attributes of one of these sets, with these values.
 
     bool unconditional() const { return !this->absent && this->anyOf.empty(); }
-    bool matches(const std::optional<Row> &existing) const; // For stand-ins of a table.
+    bool matches(const std::optional<Row> &existing) const;
 
     bool operator==(const PutCondition &) const = default;
 };
@@ -76,14 +76,14 @@
 using RowsCallback = std::function<void(Result<std::vector<Row>>)>;
 using WriteCallback = std::function<void(Result<void>)>;
 
-// What became of each put of a transaction that took no effect.
+// The outcome of one put of a transaction.
 enum class PutOutcome : std::uint8_t {
     Applied,
-    NotApplied,      // Another put's failure cancelled it; it may be sent again.
-    ConditionFailed, // Its own condition did not hold.
+    NotApplied,      // Cancelled because of another put; may be sent again.
+    ConditionFailed, // The put's own condition did not hold.
 };
 
-// Applied for all, or a cancelled transaction with at least one ConditionFailed or NotApplied.
+// Either Applied for every put, or a cancelled transaction with at least one ConditionFailed or NotApplied.
 using TransactionResult = std::vector<PutOutcome>;
 using TransactionCallback = std::function<void(Result<TransactionResult>)>;
 
@@ -92,10 +92,10 @@
 
 struct TablePort
 {
-    std::function<void(const RowKey &, RowCallback)> get; // A consistent read.
+    std::function<void(const RowKey &, RowCallback)> get; // Strongly consistent.
     // Conflict: the condition did not hold.
     std::function<void(const ConditionalPut &, WriteCallback)> putIf;
-    // All puts take effect or none.
+    // Either all puts take effect or none does.
     std::function<void(const std::vector<ConditionalPut> &, TransactionCallback)> transact;
     std::function<void(const QueryRequest &, RowsCallback)> query;
     std::function<void(const RowKey &, WriteCallback)> remove;
@@ -106,7 +106,7 @@
 struct ObjectPort
 {
     std::function<void(const std::string &name, const ObjectBytes &, WriteCallback)> put;
-    std::function<void(const std::string &name, BytesCallback)> get; // NotFound when there is none.
+    std::function<void(const std::string &name, BytesCallback)> get; // NotFound if it does not exist.
 };
 
 } // namespace Sagecrank
--- a/Libraries/LibSource/Publisher.cpp
+++ b/Libraries/LibSource/Publisher.cpp
@@ -1,4 +1,4 @@
-// Publishing and rolling back: see Publisher.h.
+// Implements publish and rollback; see Publisher.h.
 #include <LibConfig/Assemble.h>
 #include <LibConfig/Check.h>
 #include <LibSource/ObjectWriter.h>
@@ -15,11 +15,11 @@
 class PublishOperation : public std::enable_shared_from_this<PublishOperation>
 {
 public:
-    PublishOperation(TablePort table, ObjectPort objects, Scheduler later, RetryPolicy policy,
+    PublishOperation(TablePort table, ObjectPort objects, Scheduler scheduler, RetryPolicy policy,
                      PublishRequest request, PublishCallback callback)
         : tablePort(std::move(table))
         , objectPort(std::move(objects))
-        , schedulerHook(std::move(later))
+        , schedulerHook(std::move(scheduler))
         , retryPolicy(policy)
         , publishRequest(std::move(request))
         , done(std::move(callback))
@@ -54,8 +54,8 @@
         this->done({PublishOutcome::Failed, 0, this->publishRequest.publishId, {}, error});
     }
 
-    // Runs `read`, repeated as the plan says, and goes on with its value; an error ends the publish, as
-    // nothing has taken effect so far.
+    // Runs `read` with retries and passes its value to `proceed`. An error ends the publish, since nothing
+    // has taken effect yet.
     template <typename T>
     void readThen(std::function<void(std::function<void(Result<T>)>)> read,
                   std::function<void(const T &)> proceed)
@@ -82,7 +82,7 @@
             });
     }
 
-    // The operator's files were made from an older version than the one in force.
+    // The operator's files are based on another version than the one in force.
     void reportConflict(std::uint64_t version)
     {
         HistoryEntry unknown;
@@ -112,7 +112,7 @@
         withRetries<HistoryEntry>(this->retryPolicy, this->schedulerHook, read, std::move(callback));
     }
 
-    // What the version in force holds need not be written again. If it cannot be read, all is written.
+    // Objects of the version in force are not written again. If it cannot be read, all objects are written.
     void readPrevious()
     {
         if (this->from.version == 0)
@@ -169,7 +169,7 @@
             const auto &references = site.manifest.sections;
             const Digest digest = siteDigest(site.manifest);
             this->manifest.sites.push_back({site.manifest.site, digest});
-            // A stored site list brings its stored sections along.
+            // If a site list is stored, so are its sections.
             if (this->stored.count(siteObjectName(digest)) != 0)
                 continue;
             all.emplace(siteObjectName(digest), encodeSite(site.manifest));
@@ -238,8 +238,8 @@
     const PublishCallback done;
     std::vector<SiteConfiguration> sites; // Empty for a rollback.
     std::optional<std::uint64_t> rolledBackTo;
-    Head from;                    // What the move starts from.
-    std::set<std::string> stored; // Names of objects that the version in force is made of.
+    Head from;                    // The head that the new version replaces.
+    std::set<std::string> stored; // Names of the objects of the version in force.
     std::size_t pendingReads = 0;
     VersionManifest manifest; // Of the new version.
 };
@@ -250,7 +250,7 @@
                      RetryPolicy retryPolicy)
     : table(std::move(tablePort))
     , objects(std::move(objectPort))
-    , later(std::move(schedulerHook))
+    , scheduler(std::move(schedulerHook))
     , policy(retryPolicy)
 {
 }
@@ -258,14 +258,14 @@
 void Publisher::publish(std::vector<RenderedSite> sites, const PublishRequest &request,
                         PublishCallback callback) const
 {
-    std::make_shared<PublishOperation>(this->table, this->objects, this->later, this->policy, request,
+    std::make_shared<PublishOperation>(this->table, this->objects, this->scheduler, this->policy, request,
                                        std::move(callback))
         ->publish(std::move(sites));
 }
 
 void Publisher::rollback(std::uint64_t to, const PublishRequest &request, PublishCallback callback) const
 {
-    std::make_shared<PublishOperation>(this->table, this->objects, this->later, this->policy, request,
+    std::make_shared<PublishOperation>(this->table, this->objects, this->scheduler, this->policy, request,
                                        std::move(callback))
         ->rollback(to);
 }
--- a/Libraries/LibSource/PutBatcher.cpp
+++ b/Libraries/LibSource/PutBatcher.cpp
@@ -1,4 +1,4 @@
-// Grouping of puts: see PutBatcher.h.
+// Implements batching of conditional puts; see PutBatcher.h.
 #include <LibSource/PutBatcher.h>
 
 #include <algorithm>
@@ -54,8 +54,8 @@
     ++this->counts.items;
     ++this->requestsInFlight;
     this->table.putIf(one.put, [this, callback = std::move(one.callback),
-                                isAlive = std::weak_ptr(this->alive)](Result<void> result) {
-        if (isAlive.expired())
+                                weakAlive = std::weak_ptr(this->alive)](Result<void> result) {
+        if (weakAlive.expired())
             return;
         this->handleRequestEnd();
         callback(std::move(result));
@@ -79,22 +79,22 @@
     for (const PendingPut &one : batch)
         puts.push_back(one.put);
     const auto shared = std::make_shared<Batch>(std::move(batch));
-    this->table.transact(
-        puts, [this, shared, isAlive = std::weak_ptr(this->alive)](const Result<TransactionResult> &result) {
-            if (isAlive.expired())
-                return;
-            this->handleRequestEnd();
-            this->completeBatch(*shared, result);
-        });
+    this->table.transact(puts, [this, shared, weakAlive = std::weak_ptr(this->alive)](
+                                   const Result<TransactionResult> &result) {
+        if (weakAlive.expired())
+            return;
+        this->handleRequestEnd();
+        this->completeBatch(*shared, result);
+    });
 }
 
-// One claim whose key is taken cancels the transaction of its neighbours. They did nothing wrong and are sent
-// again alone, where no other put can cancel them.
+// A put whose condition fails cancels the transaction for the whole batch. The others are sent again
+// individually, so that no other put can cancel them.
 void PutBatcher::completeBatch(Batch &batch, const Result<TransactionResult> &result)
 {
-    const std::weak_ptr isAlive = this->alive;
+    const std::weak_ptr weakAlive = this->alive;
     for (std::size_t i = 0; i < batch.size(); ++i) {
-        if (isAlive.expired())
+        if (weakAlive.expired())
             return;
         PendingPut &one = batch[i];
         if (!result)
--- a/Libraries/LibSource/PutBatcher.h
+++ b/Libraries/LibSource/PutBatcher.h
@@ -1,7 +1,7 @@
-// Sends conditional puts, each alone while few are under way, and in shared transactions when many are, so
-// that a busy node makes fewer requests and a quiet one waits for nobody. A put is judged by its own
-// condition only: one that fails does not take the others of its group down with it. Runs without sockets;
-// the owner calls advance() when nextDue() has come.
+// Sends conditional puts: individually while few requests are in flight, and in shared transactions
+// otherwise. A busy node thus sends fewer requests, and an idle one adds no latency. The result of a put
+// depends only on its own condition, never on the other puts of its batch. Performs no I/O of its own; the
+// owner calls advance() at nextDue().
 #pragma once
 
 #include <LibCore/Time.h>
@@ -15,21 +15,21 @@
 
 struct BatcherSettings
 {
-    // Load: a burst of keyed calls at one node. Up to here each put goes alone and at once, because a group
-    // saves requests but no rows, and the platform meters rows: measured, a window for every claim cost
-    // 2 ms at the median and saved nothing at today's rates. Above it the requests themselves are the harm.
+    // Below this number of requests in flight, each put is sent individually and immediately. A batch saves
+    // requests but not rows, and the platform meters rows; batching every claim cost 2 ms at the median and
+    // saved nothing. In a burst of keyed calls the number of requests itself becomes the problem.
     std::size_t requestsBeforeBatching = 16;
-    // The longest that a put waits for its group; about one round trip to the table.
+    // The longest that a put waits for its batch; about one round trip to the table.
     Milliseconds window{2};
-    // One bad item cancels a whole transaction, and the larger the group the more often that happens.
+    // One failed item cancels the whole transaction, which is more likely in larger batches.
     std::size_t maximumBatchSize = 25;
 };
 
 struct BatcherCounters
 {
-    std::uint64_t puts = 0;     // Given to the grouper.
+    std::uint64_t puts = 0;     // Passed to add().
     std::uint64_t requests = 0; // Sent to the table.
-    std::uint64_t items = 0;    // Puts within those requests, repeats included.
+    std::uint64_t items = 0;    // Puts in those requests, including repeats.
 };
 
 class PutBatcher
@@ -37,7 +37,7 @@
 public:
     PutBatcher(TablePort table, BatcherSettings settings, std::function<Instant()> now);
 
-    // The callback is as that of TablePort::putIf and comes from the table's callback.
+    // Reports results like TablePort::putIf; the callback is invoked from a callback of the table.
     void add(ConditionalPut put, WriteCallback callback);
 
     void advance();
@@ -62,11 +62,11 @@
     const TablePort table;
     const BatcherSettings settings;
     const std::function<Instant()> now;
-    Batch pending; // Invariant: no key twice; a transaction may name an item only once.
-    Instant due;   // Of the oldest in `waiting`.
+    Batch pending; // Invariant: keys are unique, since a transaction may contain an item only once.
+    Instant due;   // When `pending` is sent at the latest.
     std::size_t requestsInFlight = 0;
     BatcherCounters counts;
-    std::shared_ptr<bool> alive = std::make_shared<bool>(true); // Callbacks that come later see it gone.
+    std::shared_ptr<bool> alive = std::make_shared<bool>(true); // Lets callbacks detect destruction.
 };
 
 } // namespace Sagecrank
--- a/Libraries/LibSource/Retry.h
+++ b/Libraries/LibSource/Retry.h
@@ -1,6 +1,5 @@
-// Repeats an operation of the platform that may be repeated without harm: a read, or a write of an object
-// that is named by its content. Writes of the head and of claims do not go through here; see their own
-// classes.
+// Retries idempotent operations of the platform: reads, and writes of content-addressed objects. Writes of
+// the head and of claims have their own retry logic; see HeadWriter.h, ClaimManager.h and ClaimFinalizer.h.
 #pragma once
 
 #include <LibCore/Error.h>
@@ -12,13 +11,13 @@
 
 namespace Sagecrank {
 
-// Runs the event after the delay, never at once.
+// Runs the function after the delay, never from within the call.
 using Scheduler = std::function<void(Duration, std::function<void()>)>;
 
 struct RetryPolicy
 {
     std::uint32_t attempts = 5;
-    Milliseconds backoff{100}; // Doubles after each try.
+    Milliseconds backoff{100}; // Doubles after each attempt.
     Milliseconds maximumBackoff{2000};
 };
 
@@ -28,17 +27,19 @@
 }
 
 template <typename T>
-void withRetries(RetryPolicy policy, const Scheduler &later,
+void withRetries(RetryPolicy policy, const Scheduler &scheduler,
                  const std::function<void(std::function<void(Result<T>)>)> &operation,
                  std::function<void(Result<T>)> done)
 {
-    operation([policy, later, operation, done = std::move(done)](Result<T> result) mutable {
+    operation([policy, scheduler, operation, done = std::move(done)](Result<T> result) mutable {
         if (result || policy.attempts <= 1 || !isRetryable(result.assume_error().kind))
             return done(std::move(result));
         const Milliseconds wait = policy.backoff;
         --policy.attempts;
         policy.backoff = std::min(policy.backoff * 2, policy.maximumBackoff);
-        later(wait, [policy, later, operation, done] { withRetries<T>(policy, later, operation, done); });
+        scheduler(wait, [policy, scheduler, operation, done] {
+            withRetries<T>(policy, scheduler, operation, done);
+        });
     });
 }
 
--- a/Libraries/LibSource/StoreEra.cpp
+++ b/Libraries/LibSource/StoreEra.cpp
@@ -1,4 +1,4 @@
-// Reading and comparing eras.
+// Implements parsing and comparing eras; see StoreEra.h.
 #include <LibSource/StoreEra.h>
 
 #include <charconv>
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::size_t maximumShownLength = 40; // Of a text that is no era; it may be anything.
+constexpr std::size_t maximumShownLength = 40; // Of an unreadable era in error messages.
 
 std::optional<std::uint64_t> parseEra(std::string_view text)
 {
@@ -26,7 +26,7 @@
 {
     const std::optional<std::uint64_t> era = parseEra(stated);
     if (!era) {
-        // A store that has never stated one has none.
+        // A store that has never stated an era does not have one.
         if (!stated.empty() || this->highestSeen)
             this->reportSuspect(stated, peer, stated.empty() ? "no era is stated" : "the era is no number");
         return this->highestSeen;
--- a/Libraries/LibSource/StoreEra.h
+++ b/Libraries/LibSource/StoreEra.h
@@ -1,9 +1,10 @@
-// Which life of the platform's store answers. A store that comes back from an older copy has lost what it had
-// acknowledged since and gives its revisions out again; its era rises by one then. Without clocks or calls.
+// Tracks the era (epoch) of the platform's store. A store that is restored from an older copy has lost the
+// writes acknowledged since then and reuses their revisions; its era increases by one with each restore. Has
+// no clock and performs no I/O.
 //
-// Failure: an answer of before the return arrives late, or one states nothing that can be read. Symptom of
-// believing it: what was learnt of the return is forgotten, and the next honest answer looks like another
-// return. So only a higher era counts, and whatever else is stated is told once.
+// Responses from before a restore may arrive late, and an era may be unreadable. Accepting such an era would
+// undo the detection of the restore, and the next correct response would look like another restore. So only a
+// higher era is accepted; anything else is reported once as suspect.
 #pragma once
 
 #include <LibCore/Error.h>
@@ -19,7 +20,7 @@
 
 struct EraChange
 {
-    std::optional<std::uint64_t> previous; // Nothing: the first that this process has heard of.
+    std::optional<std::uint64_t> previous; // Not set for the first era that this process learns of.
     std::uint64_t current = 0;
 };
 
@@ -29,18 +30,18 @@
     using ChangeListener = std::function<void(const EraChange &)>;
     using SuspectListener = std::function<void(const Error &)>;
 
-    // Commands. Listeners are called within answered() and heard(), in the order in which they came.
+    // Listeners are invoked from within observeResponse() and observePeerEra(), in the order of registration.
     void addChangeListener(ChangeListener listener) { this->listeners.push_back(std::move(listener)); }
     void setSuspectListener(SuspectListener listener) { this->suspectListener = std::move(listener); }
-    // As an answer states it; empty: it states none. Returns the era to which the answer belongs: what it
-    // states, or the highest seen.
+    // Takes the era as stated in a response of the store, or an empty text if it states none. Returns the era
+    // that the response belongs to: the stated one, or the highest seen if that is unreadable.
     std::optional<std::uint64_t> observeResponse(std::string_view stated, const std::string &peer);
-    // A peer says that there is this one. It is believed that there was a return, and nothing more: what the
-    // store has, and in which era, only its own answer tells.
+
+    // Takes the era that a peer reports. This only notifies the listeners of a restore; highest() changes
+    // only with the store's own responses.
     void observePeerEra(std::uint64_t era);
 
-    // Queries.
-    std::optional<std::uint64_t> highest() const { return this->highestSeen; } // Of the store's own answers.
+    std::optional<std::uint64_t> highest() const { return this->highestSeen; }
 
 private:
     void notifyListeners(const EraChange &change);
@@ -48,8 +49,8 @@
 
     std::vector<ChangeListener> listeners;
     SuspectListener suspectListener;
-    std::optional<std::uint64_t> highestSeen;
-    std::optional<std::uint64_t> lastNotified; // Last, to the listeners.
+    std::optional<std::uint64_t> highestSeen; // In responses of the store.
+    std::optional<std::uint64_t> lastNotified;
     std::optional<std::string> lastSuspectText;
 };
 
--- a/Libraries/LibSource/TableVersionSource.cpp
+++ b/Libraries/LibSource/TableVersionSource.cpp
@@ -1,5 +1,5 @@
-// Reading a version from the table and the object store: the head, its manifest, the site's section list, and
-// the sections that are not held already.
+// Reads a version from the table and the object store: the head, its manifest, the site's section list, and
+// the sections that the node does not have yet.
 #include <LibSource/VersionSource.h>
 
 #include <LibConfig/Assemble.h>
@@ -8,8 +8,7 @@
 
 namespace {
 
-// Reads of sections under way at once: the store's latency is hidden, and a node alone cannot take more than
-// a small part of what the store gives.
+// Hides the store's latency, while a single node uses only a small part of the store's capacity.
 constexpr std::size_t maximumConcurrentSectionReads = 8;
 
 class TableVersionSource : public std::enable_shared_from_this<TableVersionSource>
@@ -46,7 +45,7 @@
     struct Pull
     {
         std::shared_ptr<const SiteConfiguration> held;
-        SiteCallback callback; // Empty once called; answers that come later are dropped.
+        SiteCallback callback; // Empty after it has been invoked; later responses are dropped.
         SiteManifest manifest;
         SectionBytes bytes;
         std::vector<Digest> missing; // Still to be read.
@@ -74,13 +73,13 @@
                                                             if (!found)
                                                                 return fail(*pull, found.assume_error());
                                                             pull->manifest = std::move(found).assume_value();
-                                                            self->listMissing(pull);
+                                                            self->findMissingSections(pull);
                                                         });
                                 });
     }
 
-    // Sections are named by their content, so those that are held are not read again.
-    void listMissing(const std::shared_ptr<Pull> &pull)
+    // Sections are content-addressed, so those already held are not read again.
+    void findMissingSections(const std::shared_ptr<Pull> &pull)
     {
         if (pull->held)
             pull->bytes = sectionBytes(*pull->held);
--- a/Libraries/LibSource/VersionSource.h
+++ b/Libraries/LibSource/VersionSource.h
@@ -1,5 +1,5 @@
-// Where a node reads accepted versions from, behind hooks: the table and object store of this project's own
-// publisher, or any other place that keeps one accepted version after the other.
+// Interface through which a node reads accepted configuration versions: from the table and object store that
+// Publisher writes, or from any other store of successive versions.
 #pragma once
 
 #include <LibCore/Time.h>
@@ -12,7 +12,7 @@
 
 namespace Sagecrank {
 
-// Reads since the start, by what the platform meters.
+// Reads since the start of the process, in the units that the platform meters.
 struct VersionSourceCounters
 {
     std::uint64_t headReads = 0;
@@ -22,11 +22,11 @@
 
 struct HeadQuery
 {
-    // With it, a source that can wait answers as soon as there is a newer version, or after the hold; and it
-    // need not say again what is not newer. Without it, it answers at once.
+    // If set, a source that supports long polling responds when there is a newer version or after
+    // maximumWait, and need not report a version that is not newer. Otherwise it responds immediately.
     std::optional<std::uint64_t> knownVersion;
     Duration maximumWait{};
-    bool freshConnection = false; // Not one that was kept, which may have fallen silent.
+    bool freshConnection = false; // Do not reuse an idle connection, which may be dead.
 };
 
 using HeadCallback = std::function<void(Result<Head>)>;
@@ -34,18 +34,18 @@
 
 struct VersionSource
 {
-    // The newest accepted version; version zero before the first one. Reads may overlap, and be answered in
+    // Reads the newest accepted version; version zero before the first one. Reads may overlap and complete in
     // any order.
     std::function<void(const HeadQuery &query, HeadCallback)> readHead;
 
-    // The whole of this site at the newest accepted version. What `held` has (it may be null) need not be
-    // read again. InvalidInput and TooLarge: it will not check tomorrow either.
+    // Reads this site's configuration at the newest accepted version. Content that `held` (which may be null)
+    // already has need not be read again. InvalidInput and TooLarge are permanent.
     std::function<void(std::shared_ptr<const SiteConfiguration> held, SiteCallback)> readSite;
 
     std::function<VersionSourceCounters()> counters;
 };
 
-// Versions as Publisher writes them: the head row, its manifest, the site's section list, the sections.
+// Reads versions as Publisher writes them: the head row, its manifest, the site's section list, the sections.
 VersionSource makeTableVersionSource(TablePort table, ObjectPort objects, std::string site);
 
 } // namespace Sagecrank
--- a/Tests/LibSource/ClaimFixture.h
+++ b/Tests/LibSource/ClaimFixture.h
@@ -1,4 +1,4 @@
-// Several gates with a claim keeper each, in front of one fake table: what the tests of claims run.
+// Test fixture: several nodes' claim managers that share one fake table.
 #pragma once
 
 #include <LibSource/ClaimManager.h>
@@ -28,7 +28,7 @@
         return static_cast<std::uint64_t>(since.count());
     }
 
-    // Takes one step of the table or one wake of a gate, whichever is next; false when nothing is due.
+    // Runs the next table event or the next wake-up of a gate, whichever is earlier; false if none is due.
     bool step(Instant limit)
     {
         std::optional<Instant> wake;
@@ -57,15 +57,15 @@
         this->platform.now = end;
     }
 
-    // The answer is written into the returned place when it comes; its reason is "none yet" until then.
+    // The returned response is filled in when it arrives; until then its reason is "none yet".
     std::shared_ptr<ClaimResponse> claim(std::size_t gate, const std::string &key, const std::string &attempt,
                                          Milliseconds within = Milliseconds(1000))
     {
-        const auto answer = std::make_shared<ClaimResponse>();
-        answer->reason = "none yet";
+        const auto response = std::make_shared<ClaimResponse>();
+        response->reason = "none yet";
         this->gates[gate]->claim(key, attempt, this->platform.now + within,
-                                 [answer](const ClaimResponse &given) { *answer = given; });
-        return answer;
+                                 [response](const ClaimResponse &received) { *response = received; });
+        return response;
     }
 
     FakePlatform platform;
--- a/Tests/LibSource/FakePlatform.h
+++ b/Tests/LibSource/FakePlatform.h
@@ -1,7 +1,6 @@
-// A table and an object store in memory for tests, with a clock that the test moves. Every answer comes
-// later, from step(); what happens to each write is drawn from a seed or set by hand: answered, answer lost
-// after the effect, lost before the effect, or effect late, after the caller was told that there was no
-// answer.
+// An in-memory table and object store for tests, with a clock that the test controls. Responses are delivered
+// asynchronously from step(). The test determines the outcome of each write: acknowledged, applied with the
+// response lost, request lost, or applied only after the caller has got a timeout.
 #pragma once
 
 #include <LibSource/Ports.h>
@@ -30,7 +29,7 @@
         TablePort port;
         port.get = [this](const RowKey &key, RowCallback callback) {
             ++this->reads;
-            this->answer(this->readDelay(), [this, key, callback = std::move(callback)] {
+            this->schedule(this->readDelay(), [this, key, callback = std::move(callback)] {
                 if (this->down)
                     return callback(unavailable());
                 callback(this->row(key));
@@ -38,7 +37,7 @@
         };
         port.query = [this](const QueryRequest &request, RowsCallback callback) {
             ++this->reads;
-            this->answer(this->readDelay(), [this, request, callback = std::move(callback)] {
+            this->schedule(this->readDelay(), [this, request, callback = std::move(callback)] {
                 if (this->down)
                     return callback(unavailable());
                 callback(this->partition(request));
@@ -47,14 +46,14 @@
         port.putIf = [this](const ConditionalPut &put, WriteCallback callback) {
             ++this->putRequests;
             ++this->itemsWritten;
-            const auto told = [callback = std::move(callback)](Result<TransactionResult> result) {
+            const auto deliver = [callback = std::move(callback)](Result<TransactionResult> result) {
                 if (!result)
                     return callback(std::move(result).assume_error());
                 if (result.assume_value()[0] == PutOutcome::ConditionFailed)
                     return callback(makeError(ErrorKind::Conflict, "put", "fake", "condition failed"));
                 callback(success());
             };
-            this->write({put}, told);
+            this->write({put}, deliver);
         };
         port.transact = [this](const std::vector<ConditionalPut> &puts, TransactionCallback callback) {
             ++this->transactRequests;
@@ -73,7 +72,7 @@
         ObjectPort port;
         port.put = [this](const std::string &name, const ObjectBytes &bytes, WriteCallback callback) {
             ++this->objectWrites;
-            this->answer(this->readDelay(), [this, name, bytes, callback = std::move(callback)] {
+            this->schedule(this->readDelay(), [this, name, bytes, callback = std::move(callback)] {
                 if (this->down || this->objectsDown)
                     return callback(unavailable());
                 this->objects[name] = bytes;
@@ -82,7 +81,7 @@
         };
         port.get = [this](const std::string &name, BytesCallback callback) {
             ++this->objectReads;
-            this->answer(this->readDelay(), [this, name, callback = std::move(callback)] {
+            this->schedule(this->readDelay(), [this, name, callback = std::move(callback)] {
                 if (this->down || this->objectsDown)
                     return callback(unavailable());
                 const auto found = this->objects.find(name);
@@ -96,10 +95,11 @@
 
     std::function<void(Duration, std::function<void()>)> scheduler()
     {
-        return [this](Duration delay, std::function<void()> event) { this->answer(delay, std::move(event)); };
+        return
+            [this](Duration delay, std::function<void()> event) { this->schedule(delay, std::move(event)); };
     }
 
-    // Runs the next event and moves the clock to it; false when there is none before `limit`.
+    // Advances the clock to the next event and runs it; false if there is none up to `limit`.
     bool step(Instant limit)
     {
         if (this->events.empty() || this->events.begin()->first > limit)
@@ -132,8 +132,8 @@
     Instant now{std::chrono::hours(1)};
     bool down = false;
     bool objectsDown = false;  // Only the object store.
-    Milliseconds delay{1};     // Of every answer.
-    Milliseconds timeout{100}; // When a caller without an answer is told so.
+    Milliseconds delay{1};     // Of every response.
+    Milliseconds timeout{100}; // After which a caller without a response gets an error.
     Milliseconds lateApplyDelay{400};
     std::function<WriteOutcome()> drawWriteOutcome = [] { return WriteOutcome::Acknowledged; };
     std::map<RowKey, Row> rows;
@@ -151,7 +151,7 @@
 
     Duration readDelay() { return this->delay + Microseconds(this->random() % 900); }
 
-    void answer(Duration after, std::function<void()> event)
+    void schedule(Duration after, std::function<void()> event)
     {
         this->events.emplace(this->now + after, std::move(event));
     }
@@ -170,40 +170,40 @@
 
     TransactionResult apply(const std::vector<ConditionalPut> &puts)
     {
-        TransactionResult verdicts(puts.size(), PutOutcome::Applied);
+        TransactionResult outcomes(puts.size(), PutOutcome::Applied);
         bool cancelled = false;
         for (std::size_t i = 0; i < puts.size(); ++i) {
             if (!puts[i].condition.matches(this->row(puts[i].row.key))) {
-                verdicts[i] = PutOutcome::ConditionFailed;
+                outcomes[i] = PutOutcome::ConditionFailed;
                 cancelled = true;
             }
         }
         for (std::size_t i = 0; i < puts.size(); ++i) {
             if (!cancelled)
                 this->rows[puts[i].row.key] = puts[i].row;
-            else if (verdicts[i] == PutOutcome::Applied)
-                verdicts[i] = PutOutcome::NotApplied;
+            else if (outcomes[i] == PutOutcome::Applied)
+                outcomes[i] = PutOutcome::NotApplied;
         }
-        return verdicts;
+        return outcomes;
     }
 
     void write(const std::vector<ConditionalPut> &puts, const TransactionCallback &callback)
     {
-        const WriteOutcome drawn = this->drawWriteOutcome();
-        if (drawn == WriteOutcome::Acknowledged) {
-            return this->answer(this->readDelay(), [this, puts, callback] {
+        const WriteOutcome outcome = this->drawWriteOutcome();
+        if (outcome == WriteOutcome::Acknowledged) {
+            return this->schedule(this->readDelay(), [this, puts, callback] {
                 if (this->down)
                     return callback(unavailable());
                 callback(this->apply(puts));
             });
         }
-        this->answer(this->timeout, [callback] {
+        this->schedule(this->timeout, [callback] {
             callback(makeError(ErrorKind::Timeout, "use fake", "fake", "no answer"));
         });
-        if (drawn == WriteOutcome::ResponseLost)
-            this->answer(this->readDelay(), [this, puts] { this->apply(puts); });
-        if (drawn == WriteOutcome::AppliedLate)
-            this->answer(this->timeout + this->lateApplyDelay, [this, puts] { this->apply(puts); });
+        if (outcome == WriteOutcome::ResponseLost)
+            this->schedule(this->readDelay(), [this, puts] { this->apply(puts); });
+        if (outcome == WriteOutcome::AppliedLate)
+            this->schedule(this->timeout + this->lateApplyDelay, [this, puts] { this->apply(puts); });
     }
 
     std::multimap<Instant, std::function<void()>> events;
--- a/Tests/LibSource/TestClaimRuns.cpp
+++ b/Tests/LibSource/TestClaimRuns.cpp
@@ -1,5 +1,5 @@
-// Many keys, gates and faults at once, from a seed: whatever the table loses, delays or refuses and whoever
-// dies or pauses, no key runs twice and "not run" is always true.
+// Randomised test of claims with many keys, nodes and faults: whatever the table loses, delays or rejects,
+// and whichever process crashes or pauses, no key runs twice and "not run" is always true.
 #include <LibSource/ClaimFixture.h>
 #include <Support/TableTest.h>
 
@@ -10,15 +10,15 @@
 
 namespace {
 
-struct RunRow
+struct ClaimRunRow
 {
     std::uint32_t seed;
-    std::uint32_t lostPercent; // Of writes: a third each answer lost, request lost, effect late.
-    std::uint32_t diesPercent; // Of granted calls: the holder dies before it says how it ended.
+    std::uint32_t lostPercent;  // Of writes: a third each response lost, request lost, applied late.
+    std::uint32_t crashPercent; // Of granted calls: the process crashes before it records the result.
     bool outages;
 };
 
-const RunRow runRows[] = {
+const ClaimRunRow runRows[] = {
     {1, 0, 0, false}, {2, 10, 0, false}, {3, 30, 0, false},  {4, 30, 10, false}, {5, 30, 10, true},
     {6, 60, 5, true}, {7, 20, 0, true},  {8, 60, 20, false}, {9, 90, 0, true},   {10, 5, 5, true},
 };
@@ -27,8 +27,8 @@
 constexpr int keyCount = 60;
 constexpr int attemptCount = 1500;
 
-// Every second run has its puts grouped always, as a busy node has.
-ClaimSettings settingsOf(const RunRow &row)
+// Every second run always batches its puts, like a busy node.
+ClaimSettings settingsOf(const ClaimRunRow &row)
 {
     ClaimSettings settings;
     if (row.seed % 2 == 0)
@@ -36,16 +36,16 @@
     return settings;
 }
 
-// Callers that try again at random gates, and upstreams that count what ran.
-class Run
+// Simulates callers that retry at random gates, and upstreams that record which attempts ran.
+class ClaimRun
 {
 public:
-    explicit Run(const RunRow &row)
+    explicit ClaimRun(const ClaimRunRow &row)
         : row(row)
         , fixture(gateCount, row.seed, settingsOf(row))
         , random(row.seed * 7919)
     {
-        this->fixture.platform.drawWriteOutcome = [this] { return this->drawFate(); };
+        this->fixture.platform.drawWriteOutcome = [this] { return this->randomWriteOutcome(); };
     }
 
     void attempt(const std::string &key)
@@ -54,20 +54,20 @@
         const std::string attempt = "attempt-" + std::to_string(++this->attempts);
         const Instant deadline = this->fixture.platform.now + Milliseconds(5 + (this->random() % 600));
         this->fixture.gates[gate]->claim(key, attempt, deadline,
-                                         [this, gate, key, attempt, deadline](const ClaimResponse &answer) {
-                                             this->answered(gate, key, attempt, deadline, answer);
+                                         [this, gate, key, attempt, deadline](const ClaimResponse &response) {
+                                             this->handleResponse(gate, key, attempt, deadline, response);
                                          });
     }
 
-    void answered(std::size_t gate, const std::string &key, const std::string &attempt, Instant deadline,
-                  const ClaimResponse &answer)
+    void handleResponse(std::size_t gate, const std::string &key, const std::string &attempt,
+                        Instant deadline, const ClaimResponse &response)
     {
-        cr_assert(this->answeredAttempts.insert(attempt).second, "%s answered twice", attempt.c_str());
-        if (answer.decision == ClaimDecision::AlreadyDone)
-            cr_assert(this->ran[key] == answer.outcome.body, "%s: another's outcome", key.c_str());
-        if (answer.decision == ClaimDecision::NotRun)
-            cr_assert(answer.retryAfter > Duration(0));
-        if (answer.decision != ClaimDecision::Granted)
+        cr_assert(this->attemptsWithResponse.insert(attempt).second, "%s answered twice", attempt.c_str());
+        if (response.decision == ClaimDecision::AlreadyDone)
+            cr_assert(this->ran[key] == response.outcome.body, "%s: another's outcome", key.c_str());
+        if (response.decision == ClaimDecision::NotRun)
+            cr_assert(response.retryAfter > Duration(0));
+        if (response.decision != ClaimDecision::Granted)
             return;
         cr_assert(this->fixture.platform.now < deadline, "%s granted too late", attempt.c_str());
         this->granted(gate, key, attempt);
@@ -75,13 +75,13 @@
 
     void granted(std::size_t gate, const std::string &key, const std::string &attempt)
     {
-        if (this->random() % 10 == 0) { // The upstream left in the meantime.
+        if (this->random() % 10 == 0) { // The upstream has gone in the meantime.
             this->fixture.gates[gate]->release(key, attempt);
             return;
         }
         cr_assert(this->ran.emplace(key, attempt).second, "%s ran twice", key.c_str());
-        if (this->random() % 100 < this->row.diesPercent) {
-            this->dead.insert(key);
+        if (this->random() % 100 < this->row.crashPercent) {
+            this->crashedKeys.insert(key);
             return;
         }
         this->fixture.platform.scheduler()(Milliseconds(this->random() % 300), [this, gate, key, attempt] {
@@ -89,50 +89,51 @@
         });
     }
 
-    WriteOutcome drawFate()
+    WriteOutcome randomWriteOutcome()
     {
         if (this->healthy || this->random() % 100 >= this->row.lostPercent)
             return WriteOutcome::Acknowledged;
-        const WriteOutcome fates[] = {WriteOutcome::ResponseLost, WriteOutcome::RequestLost,
-                                      WriteOutcome::AppliedLate};
-        return fates[this->random() % 3];
+        const WriteOutcome outcomes[] = {WriteOutcome::ResponseLost, WriteOutcome::RequestLost,
+                                         WriteOutcome::AppliedLate};
+        return outcomes[this->random() % 3];
     }
 
-    const RunRow &row;
+    const ClaimRunRow &row;
     ClaimFixture fixture;
     std::mt19937 random;
     bool healthy = false;
     int attempts = 0;
     std::map<std::string, std::string> ran; // Key to the attempt that ran.
-    std::set<std::string> dead;             // Keys whose holder died.
-    std::set<std::string> answeredAttempts;
+    std::set<std::string> crashedKeys;
+    std::set<std::string> attemptsWithResponse;
 };
 
 } // namespace
 
-// Callers repeat keyed calls through four gates while the table loses answers, applies writes late, goes away
-// for a while, and holders die. In the end the table is well again: every key that did not run must be free,
-// and every key that ran must say so or, where its holder died, "unknown".
+// Callers repeat keyed calls through four gates while the table loses responses, applies writes late and has
+// outages, and processes crash. After the table has recovered, every key that did not run must be free, and
+// every key that ran must report so or, if its process crashed, "unknown".
 TABLE_TEST(claimRuns, noKeyRunsTwice, runRows)
 {
-    Run run(row);
+    ClaimRun run(row);
     for (int i = 0; i < attemptCount; ++i) {
         run.fixture.platform.down = row.outages && (i / 100) % 3 == 2;
         run.attempt("key-" + std::to_string(run.random() % keyCount));
         run.fixture.run(Milliseconds(run.random() % 12));
-        if (run.random() % 100 == 0) // Every process is paused, and its timers are late.
+        if (run.random() % 100 == 0) // All processes pause, so their timers fire late.
             run.fixture.platform.now += Milliseconds(run.random() % 900);
     }
     run.healthy = true;
     run.fixture.platform.down = false;
     run.fixture.run(Milliseconds(70000));
-    cr_assert(run.answeredAttempts.size() == static_cast<std::size_t>(run.attempts), "an answer is missing");
+    cr_assert(run.attemptsWithResponse.size() == static_cast<std::size_t>(run.attempts),
+              "an answer is missing");
     for (int i = 0; i < keyCount; ++i) {
         const std::string key = "key-" + std::to_string(i);
         const bool ran = run.ran.count(key) != 0;
         const auto last = run.fixture.claim(i % gateCount, key, "last-" + key);
         run.fixture.run(Milliseconds(50));
-        if (run.dead.count(key) != 0) { // The gate that granted it still waits for its end.
+        if (run.crashedKeys.count(key) != 0) { // The gate that granted it still waits for its result.
             cr_assert(last->decision == ClaimDecision::Unknown
                       || last->decision == ClaimDecision::InProgress);
             continue;
--- a/Tests/LibSource/TestClaims.cpp
+++ b/Tests/LibSource/TestClaims.cpp
@@ -1,4 +1,4 @@
-// One failure of claims at a time: what the caller is told, and whether the call may start.
+// Tests claims with one failure at a time: the response to the caller, and whether the call may start.
 #include <LibSource/ClaimFixture.h>
 #include <Support/TableTest.h>
 
@@ -10,14 +10,14 @@
 
 const RecordedOutcome paid{201, "application/json", "{\"paid\":true}", true};
 
-// Hands out the given fates in order, then "answered".
-std::function<WriteOutcome()> inOrder(std::deque<WriteOutcome> fates)
+// Returns the given outcomes in order, then Acknowledged.
+std::function<WriteOutcome()> outcomesInOrder(std::deque<WriteOutcome> outcomes)
 {
-    return [fates = std::move(fates)]() mutable {
-        if (fates.empty())
+    return [outcomes = std::move(outcomes)]() mutable {
+        if (outcomes.empty())
             return WriteOutcome::Acknowledged;
-        const WriteOutcome next = fates.front();
-        fates.pop_front();
+        const WriteOutcome next = outcomes.front();
+        outcomes.pop_front();
         return next;
     };
 }
@@ -28,8 +28,8 @@
     return row ? *row->text("claim_state") : "absent";
 }
 
-// Every put waits for its group, as on a node that has many under way.
-ClaimSettings alwaysGrouping()
+// Every put waits for its batch, as on a node with many requests in flight.
+ClaimSettings alwaysBatching()
 {
     ClaimSettings settings;
     settings.batching.requestsBeforeBatching = 0;
@@ -39,7 +39,7 @@
 struct LostRow
 {
     const char *name;
-    std::deque<WriteOutcome> fates; // Of the claim's puts.
+    std::deque<WriteOutcome> outcomes; // Of the claim's puts.
 };
 
 const LostRow lostRows[] = {
@@ -53,7 +53,7 @@
 struct DeadlineRow
 {
     const char *name;
-    WriteOutcome drawWriteOutcome;
+    WriteOutcome outcome;
 };
 
 const DeadlineRow deadlineRows[] = {
@@ -78,16 +78,16 @@
     {"cut inside a character", "Sj\xc3", false},
 };
 
-struct GuardRow
+struct ConditionRow
 {
-    const char *attempt; // Whose row stands there; null when there is none.
+    const char *attempt; // Of the existing row; null if there is none.
     ClaimState state;
     bool claims;    // Whether the first claim of "mine", or its release, takes effect.
-    bool takesOver; // The same for a claim that takes over from "previous".
+    bool takesOver; // Whether a claim that takes over from "previous", or its release, takes effect.
     bool records;
 };
 
-const GuardRow guardRows[] = {
+const ConditionRow conditionRows[] = {
     {nullptr, ClaimState::Claimed, true, false, false},
     {"mine", ClaimState::Claimed, true, true, true},
     {"mine", ClaimState::Done, false, false, false},
@@ -102,13 +102,13 @@
 
 } // namespace
 
-// A visitor reserves; the table loses the answer to the claim, or the claim lands only later. The visitor
-// still gets one reservation, and a second try with the same key gets the first one's outcome. A late copy of
-// the claim that lands after the outcome was recorded must not wipe it out.
-TABLE_TEST(claims, lostAnswersStillGrantOnce, lostRows)
+// The table loses the response to the claim, or applies the claim late. The call must still run exactly once,
+// and a second attempt with the same key must get the first one's outcome. A late copy of the claim that
+// arrives after the outcome was recorded must not overwrite it.
+TABLE_TEST(claims, lostResponsesGrantOnce, lostRows)
 {
     ClaimFixture fixture(2);
-    fixture.platform.drawWriteOutcome = inOrder(row.fates);
+    fixture.platform.drawWriteOutcome = outcomesInOrder(row.outcomes);
     const auto first = fixture.claim(0, "k", "a1", Milliseconds(2000));
     fixture.run(Milliseconds(900));
     cr_assert(first->decision == ClaimDecision::Granted, "%s: %s", row.name, first->reason.c_str());
@@ -124,15 +124,13 @@
     cr_assert(after->outcome == paid, "%s", row.name);
 }
 
-// The table does not confirm before the caller's deadline. The caller is told "not run" at its deadline,
-// which must stay true, and its next try must not find the key stuck by a claim that landed after all.
+// The table does not confirm the claim before the caller's deadline. The caller is told "not run" at its
+// deadline, which must stay true, and its next attempt must not be blocked by the claim taking effect later.
 TABLE_TEST(claims, unconfirmedByTheDeadlineNeverRuns, deadlineRows)
 {
     ClaimFixture fixture(2);
     bool losing = true;
-    fixture.platform.drawWriteOutcome = [&] {
-        return losing ? row.drawWriteOutcome : WriteOutcome::Acknowledged;
-    };
+    fixture.platform.drawWriteOutcome = [&] { return losing ? row.outcome : WriteOutcome::Acknowledged; };
     const auto first = fixture.claim(0, "k", "a1", Milliseconds(90));
     fixture.run(Milliseconds(91));
     cr_assert(first->decision == ClaimDecision::NotRun, "%s: %s", row.name, first->reason.c_str());
@@ -145,7 +143,7 @@
     cr_assert(second->decision == ClaimDecision::Granted, "%s: %s", row.name, second->reason.c_str());
 }
 
-// The process is paused while the table's answer is on its way. It wakes after the caller's deadline and
+// The process is paused while the table's response is in transit. It resumes after the caller's deadline and
 // finds its claim confirmed. The call must not start, and the key must become free.
 Test(claims, confirmedAfterTheDeadlineDoesNotStart)
 {
@@ -154,7 +152,7 @@
     while (fixture.platform.putRequests == 0)
         fixture.step(fixture.platform.now + Milliseconds(10));
     fixture.platform.now += Milliseconds(500);
-    fixture.platform.step(fixture.platform.now); // The answer comes before the gate's own timers.
+    fixture.platform.step(fixture.platform.now); // The response arrives before the gate's own timers.
     cr_assert(first->decision == ClaimDecision::NotRun);
     cr_assert(first->reason == "deadline_passed", "%s", first->reason.c_str());
     fixture.run(Milliseconds(500));
@@ -163,8 +161,8 @@
     cr_assert(second->decision == ClaimDecision::Granted);
 }
 
-// Two tries with one key reach two gates at the same moment. One runs; the other is told that the key is in
-// use. Neither is told "not run", since nothing failed.
+// Two attempts with the same key reach two gates at the same time. One runs; the other is told that the key
+// is in use. Neither is told "not run", since nothing failed.
 Test(claims, twoGatesRaceForOneKey)
 {
     for (std::uint32_t seed = 1; seed <= 20; ++seed) {
@@ -181,9 +179,10 @@
     }
 }
 
-// The holder dies between its claim and the end of the call. Nobody can know whether the invoice was written.
-// Callers are told "in progress" up to the holder's deadline and "unknown" after it; it never runs again.
-Test(claims, aDeadHoldersKeyNeverRunsAgain)
+// The claiming process crashes before the end of the call, so it is unknown whether the call took effect.
+// Callers are told "in progress" until that attempt's deadline and "unknown" after it; the key never runs
+// again.
+Test(claims, keyOfCrashedProcessNeverRunsAgain)
 {
     ClaimFixture fixture(2);
     const auto first = fixture.claim(0, "k", "a1", Milliseconds(500));
@@ -201,12 +200,13 @@
     }
 }
 
-// The gate refuses a granted call after all (its upstream left). The key is released, so the caller's next
-// try may run elsewhere; copies of the old attempt's puts that land afterwards change nothing.
-Test(claims, aReleasedKeyMayBeTakenOver)
+// The gate rejects a granted call because its upstream has gone. The key is released, so the caller's next
+// attempt may run elsewhere; copies of the old attempt's puts that arrive afterwards have no effect.
+Test(claims, releasedKeyCanBeTakenOver)
 {
     ClaimFixture fixture(2);
-    fixture.platform.drawWriteOutcome = inOrder({WriteOutcome::AppliedLate, WriteOutcome::ResponseLost});
+    fixture.platform.drawWriteOutcome =
+        outcomesInOrder({WriteOutcome::AppliedLate, WriteOutcome::ResponseLost});
     const auto first = fixture.claim(0, "k", "a1");
     fixture.run(Milliseconds(430));
     cr_assert(first->decision == ClaimDecision::Granted, "%s", first->reason.c_str());
@@ -216,35 +216,35 @@
     fixture.run(Milliseconds(2000));
     cr_assert(second->decision == ClaimDecision::Granted, "%s", second->reason.c_str());
     cr_assert(*fixture.platform.row(claimKey("k"))->text("attempt") == "b1");
-    fixture.gates[0]->finish("k", "a1", paid); // Too late and not its own any more.
+    fixture.gates[0]->finish("k", "a1", paid); // The key belongs to another attempt by now.
     fixture.run(Milliseconds(100));
     cr_assert(stateOf(fixture, "k") == "claimed");
 }
 
-// The table is down. Callers are refused "not run" with when to come back; after five failures at once,
-// without waiting for the table. When it is back, keyed calls run again without anybody's help.
-Test(claims, anOutageRefusesAtOnceAndHealsItself)
+// The table is down. Callers are told "not run" and when to retry; after five failures they are told so
+// immediately, without waiting for the table. When the table is back, keyed calls run again by themselves.
+Test(claims, outageRejectsImmediatelyAndRecovers)
 {
     ClaimFixture fixture(1);
     fixture.platform.down = true;
     for (int i = 0; i < 5; ++i) {
-        const auto answer = fixture.claim(0, "k" + std::to_string(i), "a");
+        const auto response = fixture.claim(0, "k" + std::to_string(i), "a");
         fixture.run(Milliseconds(10));
-        cr_assert(answer->decision == ClaimDecision::NotRun);
-        cr_assert(answer->reason == "claims_table_down", "%s", answer->reason.c_str());
+        cr_assert(response->decision == ClaimDecision::NotRun);
+        cr_assert(response->reason == "claims_table_down", "%s", response->reason.c_str());
     }
     const int before = fixture.platform.putRequests;
-    int answeredAtOnce = 0;
+    int immediateResponses = 0;
     for (int i = 0; i < 1000; ++i) {
-        const auto answer = fixture.claim(0, "more" + std::to_string(i), "a");
-        answeredAtOnce += answer->reason == "claims_table_down" ? 1 : 0; // No time has passed.
+        const auto response = fixture.claim(0, "more" + std::to_string(i), "a");
+        immediateResponses += response->reason == "claims_table_down" ? 1 : 0; // No time has passed.
         fixture.run(Milliseconds(10));
-        cr_assert(answer->reason == "claims_table_down", "%s", answer->reason.c_str());
-        cr_assert(answer->retryAfter > Duration(0));
+        cr_assert(response->reason == "claims_table_down", "%s", response->reason.c_str());
+        cr_assert(response->retryAfter > Duration(0));
     }
     const int probes = fixture.platform.putRequests - before;
     cr_assert(probes >= 2 && probes <= 8, "%d probes in ten seconds", probes);
-    cr_assert(answeredAtOnce == 1000 - probes, "%d at once, %d probes", answeredAtOnce, probes);
+    cr_assert(immediateResponses == 1000 - probes, "%d at once, %d probes", immediateResponses, probes);
     fixture.platform.down = false;
     fixture.run(Milliseconds(5000));
     const auto probe = fixture.claim(0, "probe", "a");
@@ -255,20 +255,20 @@
     cr_assert(next->decision == ClaimDecision::Granted);
 }
 
-// The table takes connections and drops them, so every put may have taken effect. A caller with a long
-// deadline must not wait it out for a table that is down; it is refused as soon as that is clear, and its key
-// is freed once the table is back.
-Test(claims, anOutageThatDropsConnectionsRefusesBeforeTheDeadline)
+// The table accepts connections and drops them, so every put may have taken effect. A caller with a long
+// deadline must not wait until then for a table that is down. It is rejected once the circuit breaker opens,
+// and its key is released when the table is back.
+Test(claims, droppedConnectionsRejectBeforeDeadline)
 {
     ClaimFixture fixture(2);
     fixture.platform.down = true;
     fixture.platform.timeout = Milliseconds(2);
     fixture.platform.drawWriteOutcome = [] { return WriteOutcome::RequestLost; };
-    const auto answer = fixture.claim(0, "k", "a1", Milliseconds(30000));
+    const auto response = fixture.claim(0, "k", "a1", Milliseconds(30000));
     fixture.run(Milliseconds(700));
-    cr_assert(answer->decision == ClaimDecision::NotRun);
-    cr_assert(answer->reason == "claims_table_down", "%s", answer->reason.c_str());
-    cr_assert(answer->retryAfter > Duration(0));
+    cr_assert(response->decision == ClaimDecision::NotRun);
+    cr_assert(response->reason == "claims_table_down", "%s", response->reason.c_str());
+    cr_assert(response->retryAfter > Duration(0));
     fixture.platform.down = false;
     fixture.platform.drawWriteOutcome = [] { return WriteOutcome::Acknowledged; };
     fixture.run(Milliseconds(6000));
@@ -277,29 +277,29 @@
     cr_assert(second->decision == ClaimDecision::Granted, "%s", second->reason.c_str());
 }
 
-// The table takes seconds. Claims pile up to the cap; the rest are refused at once, and those that wait are
-// answered at their own deadline, not later.
-Test(claims, aSlowTableHoldsNobodyPastItsDeadline)
+// The table takes seconds to respond. Claims accumulate up to the limit and further ones are rejected
+// immediately. Those that wait are answered at their own deadline, not later.
+Test(claims, slowTableNeverDelaysPastDeadline)
 {
     ClaimSettings settings;
     settings.maximumWaiting = 10;
     ClaimFixture fixture(1, 1, settings);
     fixture.platform.delay = Milliseconds(5000);
-    std::vector<std::shared_ptr<ClaimResponse>> answers;
+    std::vector<std::shared_ptr<ClaimResponse>> responses;
     for (int i = 0; i < 15; ++i)
-        answers.push_back(fixture.claim(0, "k" + std::to_string(i), "a", Milliseconds(100)));
+        responses.push_back(fixture.claim(0, "k" + std::to_string(i), "a", Milliseconds(100)));
     for (int i = 10; i < 15; ++i)
-        cr_assert(answers[i]->reason == "too_many_claims_wait");
+        cr_assert(responses[i]->reason == "too_many_claims_wait");
     fixture.run(Milliseconds(100));
     for (int i = 0; i < 10; ++i)
-        cr_assert(answers[i]->reason == "claims_table_slow", "%s", answers[i]->reason.c_str());
-    const auto next = fixture.claim(0, "next", "a"); // By now the table counts as down.
+        cr_assert(responses[i]->reason == "claims_table_slow", "%s", responses[i]->reason.c_str());
+    const auto next = fixture.claim(0, "next", "a"); // The circuit breaker is open.
     cr_assert(next->reason == "claims_table_down", "%s", next->reason.c_str());
 }
 
-// Only the attempt that was granted ends its claim, and only once. A stray end from an older attempt would
-// record another call's outcome, or free a key while its call runs.
-Test(claims, onlyTheHolderEndsItsClaim)
+// Only the attempt that was granted can end its claim, and only once. Otherwise a call of finish or release
+// for an older attempt would record another call's outcome, or free a key while its call runs.
+Test(claims, onlyGrantedAttemptEndsItsClaim)
 {
     ClaimFixture fixture(1);
     const auto first = fixture.claim(0, "k", "a1");
@@ -314,34 +314,35 @@
     cr_assert(fixture.claim(0, "k", "a2")->decision == ClaimDecision::InProgress);
     fixture.gates[0]->finish("k", "a1", paid);
     cr_assert(fixture.claim(0, "k", "a2")->decision
-              == ClaimDecision::AlreadyDone); // Known before it is stored.
+              == ClaimDecision::AlreadyDone); // Known locally before it is stored.
     fixture.gates[0]->release("k", "a1");
     fixture.run(Milliseconds(20));
     cr_assert(stateOf(fixture, "k") == "done");
     cr_assert(fixture.gates[0]->counters().finalizing.written == 1);
 }
 
-// The call ran, and the answer to the record of its outcome is lost. The record is found in the table and not
-// written for a whole minute again and again.
-Test(claims, aRecordWhoseAnswerIsLostIsSettled)
+// The response to the put that records the outcome is lost. The record is found in the table, so the put is
+// not repeated until it is given up.
+Test(claims, recordWithLostResponseIsFound)
 {
     ClaimFixture fixture(1);
     fixture.claim(0, "k", "a1");
     fixture.run(Milliseconds(20));
-    fixture.platform.drawWriteOutcome = inOrder({WriteOutcome::ResponseLost, WriteOutcome::ResponseLost});
+    fixture.platform.drawWriteOutcome =
+        outcomesInOrder({WriteOutcome::ResponseLost, WriteOutcome::ResponseLost});
     fixture.gates[0]->finish("k", "a1", paid);
     fixture.run(Milliseconds(1000));
     cr_assert(stateOf(fixture, "k") == "done");
     cr_assert(fixture.gates[0]->counters().finalizing.written == 1);
-    // The claim, the record, its repeat whose answer is lost too, and the one that finds it done.
+    // The claim, the record, a repeat whose response is lost too, and one that finds the row already done.
     cr_assert(fixture.platform.putRequests == 4, "%d puts", fixture.platform.putRequests);
 }
 
-// The deadline passes while the claim still waits for its group. Its release must not join the same group:
-// the table refuses a transaction that names a row twice, and with it every other claim of the group.
-Test(claims, aClaimAndItsReleaseTravelApart)
+// The deadline passes while the claim still waits for its batch. Its release must not join the same batch,
+// because the table rejects a transaction that contains a row twice, and with it all other claims.
+Test(claims, claimAndReleaseNeverShareBatch)
 {
-    ClaimFixture fixture(1, 1, alwaysGrouping());
+    ClaimFixture fixture(1, 1, alwaysBatching());
     const auto first = fixture.claim(0, "k", "a1", Milliseconds(1));
     fixture.run(Milliseconds(50));
     cr_assert(first->reason == "claims_table_slow");
@@ -350,8 +351,8 @@
     cr_assert(stateOf(fixture, "k") == "released");
 }
 
-// Every put against every row that may stand there when it lands, however late.
-TABLE_TEST(claimRow, putsTakeEffectOnlyFromTheirStates, guardRows)
+// Checks every put against every row that may exist when the put arrives, however late.
+TABLE_TEST(claimRow, putsTakeEffectOnlyFromTheirStates, conditionRows)
 {
     const ClaimRow mine{"k", "mine", ClaimState::Claimed, 0, 0, {}};
     const std::optional<std::string> previous = "previous";
@@ -365,41 +366,41 @@
     cr_assert(recordPut(mine, {}).condition.matches(existing) == row.records);
 }
 
-// Ten keyed calls arrive within a millisecond. They share one request, and the one whose key is taken does
-// not get the other nine refused.
-Test(claims, aTakenKeyDoesNotRefuseItsGroup)
+// Ten keyed calls arrive within a millisecond and share one request. The one whose key is taken must not
+// cause the other nine to be rejected.
+Test(claims, takenKeyDoesNotFailItsBatch)
 {
-    ClaimFixture fixture(2, 1, alwaysGrouping());
-    const auto holder = fixture.claim(1, "k3", "b");
+    ClaimFixture fixture(2, 1, alwaysBatching());
+    const auto holderResponse = fixture.claim(1, "k3", "b");
     fixture.run(Milliseconds(20));
-    cr_assert(holder->decision == ClaimDecision::Granted);
+    cr_assert(holderResponse->decision == ClaimDecision::Granted);
     fixture.platform.putRequests = 0;
-    std::vector<std::shared_ptr<ClaimResponse>> answers;
+    std::vector<std::shared_ptr<ClaimResponse>> responses;
     for (int i = 0; i < 10; ++i)
-        answers.push_back(fixture.claim(0, "k" + std::to_string(i), "a"));
+        responses.push_back(fixture.claim(0, "k" + std::to_string(i), "a"));
     fixture.run(Milliseconds(50));
     for (int i = 0; i < 10; ++i) {
         const ClaimDecision wanted = i == 3 ? ClaimDecision::InProgress : ClaimDecision::Granted;
-        cr_assert(answers[i]->decision == wanted, "claim %d: %s", i, answers[i]->reason.c_str());
+        cr_assert(responses[i]->decision == wanted, "claim %d: %s", i, responses[i]->reason.c_str());
     }
     cr_assert(fixture.platform.transactRequests == 1);
-    cr_assert(fixture.platform.putRequests == 9); // Each of the nine once more, alone.
+    cr_assert(fixture.platform.putRequests == 9); // Each of the nine is repeated individually.
     for (int i = 10; i < 20; ++i)
-        answers.push_back(fixture.claim(0, "k" + std::to_string(i), "a"));
+        responses.push_back(fixture.claim(0, "k" + std::to_string(i), "a"));
     fixture.run(Milliseconds(50));
-    cr_assert(answers.back()->decision == ClaimDecision::Granted);
+    cr_assert(responses.back()->decision == ClaimDecision::Granted);
     cr_assert(fixture.platform.transactRequests == 2);
     cr_assert(fixture.platform.putRequests == 9);
 }
 
-// The owner of a keeper looks at nextWake() when it has claimed and when it has woken, not after each answer
-// of the table. The answer to the claim is lost, and so is the answer to the record of its outcome: both must
-// be followed up in time all the same.
-Test(claims, wakesItsOwnerWhileAnAnswerIsAwaited)
+// The owner calls nextWake() after claim() and after advance(), but not after each response of the table. The
+// request of the claim is lost, and so is that of the record of its outcome: both must still be repeated in
+// time.
+Test(claims, wakesWhileResponseIsPending)
 {
     ClaimFixture fixture(1);
     fixture.platform.drawWriteOutcome =
-        inOrder({WriteOutcome::RequestLost, WriteOutcome::Acknowledged, WriteOutcome::RequestLost});
+        outcomesInOrder({WriteOutcome::RequestLost, WriteOutcome::Acknowledged, WriteOutcome::RequestLost});
     std::optional<Instant> timer;
     const auto runUntil = [&](Instant end) {
         while (true) {
@@ -415,10 +416,10 @@
         }
         fixture.platform.now = end;
     };
-    const auto answer = fixture.claim(0, "k", "a1");
+    const auto response = fixture.claim(0, "k", "a1");
     timer = fixture.gates[0]->nextWake();
     runUntil(fixture.platform.now + Milliseconds(300));
-    cr_assert(answer->decision == ClaimDecision::Granted, "%s", answer->reason.c_str());
+    cr_assert(response->decision == ClaimDecision::Granted, "%s", response->reason.c_str());
     fixture.gates[0]->finish("k", "a1", paid);
     timer = fixture.gates[0]->nextWake();
     runUntil(fixture.platform.now + Milliseconds(500));
@@ -426,27 +427,27 @@
     cr_assert(!fixture.gates[0]->nextWake(), "nothing is left to wait for");
 }
 
-// A visitor's reservation on a quiet node must not wait for others that never come; a hundred at once must
-// not become a hundred requests.
-Test(claims, groupsOnlyWhenManyAreUnderWay)
+// A call on an idle node must not wait for a batch to fill, and a hundred concurrent calls must not cause a
+// hundred requests.
+Test(claims, batchesOnlyUnderLoad)
 {
     ClaimFixture fixture(1);
     const auto first = fixture.claim(0, "first", "a");
     cr_assert(fixture.platform.putRequests == 1); // No time has passed.
     fixture.run(Milliseconds(20));
     fixture.platform.putRequests = 0;
-    std::vector<std::shared_ptr<ClaimResponse>> answers;
+    std::vector<std::shared_ptr<ClaimResponse>> responses;
     for (int i = 0; i < 100; ++i)
-        answers.push_back(fixture.claim(0, "k" + std::to_string(i), "a"));
+        responses.push_back(fixture.claim(0, "k" + std::to_string(i), "a"));
     fixture.run(Milliseconds(20));
-    for (const auto &answer : answers)
-        cr_assert(answer->decision == ClaimDecision::Granted, "%s", answer->reason.c_str());
+    for (const auto &response : responses)
+        cr_assert(response->decision == ClaimDecision::Granted, "%s", response->reason.c_str());
     const int requests = fixture.platform.putRequests + fixture.platform.transactRequests;
     cr_assert(fixture.platform.putRequests >= 16);
     cr_assert(requests <= 20, "%d requests", requests);
 }
 
-TABLE_TEST(claims, keepsBodiesThatFit, bodyRows)
+TABLE_TEST(claims, storesBodiesThatFit, bodyRows)
 {
     ClaimFixture fixture(2);
     fixture.claim(0, "k", "a1");
--- a/Tests/LibSource/TestStoreEra.cpp
+++ b/Tests/LibSource/TestStoreEra.cpp
@@ -1,4 +1,4 @@
-// What a process makes of the eras that the store and its peers state.
+// Tests which eras a process accepts from the store and from its peers.
 #include <LibSource/StoreEra.h>
 
 #include <Support/TableTest.h>
@@ -7,19 +7,19 @@
 
 namespace {
 
-struct Word
+struct StatedEra
 {
     bool fromPeer;
-    const char *text; // Of a peer, a number.
+    const char *text; // A number if it comes from a peer.
 };
 
 struct EraRow
 {
     const char *what;
-    std::vector<Word> words;
-    std::vector<std::uint64_t> told; // Rises, in order.
+    std::vector<StatedEra> stated;
+    std::vector<std::uint64_t> notified; // Eras passed to the listener, in order.
     std::optional<std::uint64_t> highest;
-    int doubts;
+    int suspects;
 };
 
 const EraRow eraRows[] = {
@@ -43,20 +43,21 @@
 
 } // namespace
 
-// An era that is believed wrongly hides the next return; one that is not believed loses what was written
-// since the copy.
-TABLE_TEST(storeEra, onlyAHigherOneCounts, eraRows)
+// Accepting a wrong era hides the next restore of the store; rejecting a correct one loses the writes made
+// since the copy that was restored.
+TABLE_TEST(storeEra, acceptsOnlyHigherEras, eraRows)
 {
     StoreEra era;
-    std::vector<std::uint64_t> told;
-    int doubts = 0;
-    era.addChangeListener([&told](const EraChange &rise) { told.push_back(rise.current); });
-    era.setSuspectListener([&doubts](const Error &) { ++doubts; });
-    for (const Word &word : row.words) {
-        if (word.fromPeer)
-            era.observePeerEra(std::stoull(word.text));
+    std::vector<std::uint64_t> notified;
+    int suspects = 0;
+    era.addChangeListener([&notified](const EraChange &rise) { notified.push_back(rise.current); });
+    era.setSuspectListener([&suspects](const Error &) { ++suspects; });
+    for (const StatedEra &one : row.stated) {
+        if (one.fromPeer)
+            era.observePeerEra(std::stoull(one.text));
         else
-            era.observeResponse(word.text, "store");
+            era.observeResponse(one.text, "store");
     }
-    cr_assert(told == row.told && era.highest() == row.highest && doubts == row.doubts, "%s", row.what);
+    cr_assert(notified == row.notified && era.highest() == row.highest && suspects == row.suspects, "%s",
+              row.what);
 }
