--- a/Libraries/LibPlatform/PlatformClient.cpp
+++ b/Libraries/LibPlatform/PlatformClient.cpp
@@ -43,13 +43,13 @@
         HttpRequest request{"POST", "/", {}, std::move(body)};
         request.headers.push_back({"Content-Type", "application/x-amz-json-1.0"});
         request.headers.push_back({"X-Amz-Target", "DynamoDB_20120810." + operation});
-        this->add(this->settings.table, std::move(request), std::move(done));
+        this->enqueue(this->settings.table, std::move(request), std::move(done));
     }
 
     void object(const std::string &method, const std::string &name, std::string body, Done done)
     {
         HttpRequest request{method, "/" + this->settings.bucket + "/" + name, {}, std::move(body)};
-        this->add(this->settings.objects, std::move(request), std::move(done));
+        this->enqueue(this->settings.objects, std::move(request), std::move(done));
     }
 
     void stop() { this->stopped = true; }
@@ -59,7 +59,7 @@
     PlatformCounters counters;
 
 private:
-    struct Waiting
+    struct QueuedRequest
     {
         std::string address;
         HttpRequest request;
@@ -67,44 +67,44 @@
         Instant expires;
     };
 
-    void add(const std::string &address, HttpRequest request, Done done)
+    void enqueue(const std::string &address, HttpRequest request, Done done)
     {
         const Instant expires = SteadyClock::now() + this->settings.requestTimeout;
-        Waiting next{address, std::move(request), std::move(done), expires};
-        if (this->stopped || this->waiting.size() >= this->settings.maximumWaiting)
-            return this->refuse(std::move(next));
-        this->waiting.push_back(std::move(next));
-        this->sendWaiting();
+        QueuedRequest next{address, std::move(request), std::move(done), expires};
+        if (this->stopped || this->queue.size() >= this->settings.maximumQueued)
+            return this->reject(std::move(next));
+        this->queue.push_back(std::move(next));
+        this->sendQueued();
     }
 
     // A request that is sent with hardly any time left gets no answer in time, and all that comes of it is a
     // write whose effect is not known. A tenth of the timeout is kept for the platform's own work.
-    Duration leastTime() const { return this->settings.requestTimeout / 10; }
+    Duration minimumTimeToSend() const { return this->settings.requestTimeout / 10; }
 
     // Never calls back from inside the port's call, so that a caller is not entered while it changes.
-    void refuse(Waiting refused)
+    void reject(QueuedRequest rejected)
     {
         ++this->counters.notSent;
-        boost::asio::post(this->context, [refused = std::move(refused)] {
-            refused.done(makeError(ErrorKind::Unavailable, "send request", refused.address,
-                                   "too many requests wait, or it waited too long"));
+        boost::asio::post(this->context, [rejected = std::move(rejected)] {
+            rejected.done(makeError(ErrorKind::Unavailable, "send request", rejected.address,
+                                    "too many requests wait, or it waited too long"));
         });
     }
 
-    void sendWaiting()
+    void sendQueued()
     {
-        while (!this->waiting.empty() && this->inFlight < this->settings.maximumInFlight) {
-            Waiting next = std::move(this->waiting.front());
-            this->waiting.pop_front();
+        while (!this->queue.empty() && this->inFlight < this->settings.maximumInFlight) {
+            QueuedRequest next = std::move(this->queue.front());
+            this->queue.pop_front();
             const Instant now = SteadyClock::now();
-            if (this->stopped || now + this->leastTime() >= next.expires)
-                this->refuse(std::move(next));
+            if (this->stopped || now + this->minimumTimeToSend() >= next.expires)
+                this->reject(std::move(next));
             else
                 this->send(std::move(next), now);
         }
     }
 
-    void send(Waiting next, Instant now)
+    void send(QueuedRequest next, Instant now)
     {
         ++this->inFlight;
         const Duration left = next.expires - now;
@@ -119,7 +119,7 @@
                 self->counters.notSent += failure->mayHaveBeenSent ? 0 : 1;
                 done(std::move(error));
             }
-            self->sendWaiting();
+            self->sendQueued();
         };
         this->client.send(next.address, std::move(next.request), left, finish);
     }
@@ -127,8 +127,8 @@
     boost::asio::io_context &context;
     const PlatformClientSettings settings;
     HttpClient client;
-    std::deque<Waiting> waiting; // At most maximumWaiting.
-    std::uint32_t inFlight = 0;  // At most maximumInFlight.
+    std::deque<QueuedRequest> queue; // At most maximumWaiting.
+    std::uint32_t inFlight = 0;      // At most maximumInFlight.
     bool stopped = false;
 };
 
@@ -147,20 +147,20 @@
     TablePort port;
     port.get = [requests = this->requests](const RowKey &key, RowCallback callback) {
         ++requests->counters.tableReads;
-        requests->table("GetItem", TableProtocol::getBody(requests->tableName(), key),
+        requests->table("GetItem", TableProtocol::encodeGet(requests->tableName(), key),
                         [callback = std::move(callback)](Result<HttpResponse> response) {
                             if (!response)
                                 return callback(std::move(response).assume_error());
-                            callback(TableProtocol::readGet(response.assume_value()));
+                            callback(TableProtocol::parseGetResponse(response.assume_value()));
                         });
     };
     port.query = [requests = this->requests](const QueryRequest &query, RowsCallback callback) {
         ++requests->counters.tableReads;
-        requests->table("Query", TableProtocol::queryBody(requests->tableName(), query),
+        requests->table("Query", TableProtocol::encodeQuery(requests->tableName(), query),
                         [callback = std::move(callback)](Result<HttpResponse> response) {
                             if (!response)
                                 return callback(std::move(response).assume_error());
-                            callback(TableProtocol::readQuery(response.assume_value()));
+                            callback(TableProtocol::parseQueryResponse(response.assume_value()));
                         });
     };
     const auto write = [requests = this->requests](const char *operation, std::string body,
@@ -171,24 +171,24 @@
                         [callback = std::move(callback)](Result<HttpResponse> response) {
                             if (!response)
                                 return callback(std::move(response).assume_error());
-                            callback(TableProtocol::readWrite(response.assume_value()));
+                            callback(TableProtocol::parseWriteResponse(response.assume_value()));
                         });
     };
     port.putIf = [write, requests = this->requests](const ConditionalPut &put, WriteCallback callback) {
-        write("PutItem", TableProtocol::putBody(requests->tableName(), put), std::move(callback));
+        write("PutItem", TableProtocol::encodePut(requests->tableName(), put), std::move(callback));
     };
     port.remove = [write, requests = this->requests](const RowKey &key, WriteCallback callback) {
-        write("DeleteItem", TableProtocol::deleteBody(requests->tableName(), key), std::move(callback));
+        write("DeleteItem", TableProtocol::encodeDelete(requests->tableName(), key), std::move(callback));
     };
     port.transact = [requests = this->requests](const std::vector<ConditionalPut> &puts,
                                                 TransactionCallback callback) {
         requests->counters.tableWrites += puts.size();
         ++requests->counters.tableWriteRequests;
-        requests->table("TransactWriteItems", TableProtocol::transactBody(requests->tableName(), puts),
+        requests->table("TransactWriteItems", TableProtocol::encodeTransaction(requests->tableName(), puts),
                         [count = puts.size(), callback = std::move(callback)](Result<HttpResponse> response) {
                             if (!response)
                                 return callback(std::move(response).assume_error());
-                            callback(TableProtocol::readTransaction(response.assume_value(), count));
+                            callback(TableProtocol::parseTransactionResponse(response.assume_value(), count));
                         });
     };
     return port;
@@ -216,11 +216,11 @@
                          [name, callback = std::move(callback)](Result<HttpResponse> response) {
                              if (!response)
                                  return callback(std::move(response).assume_error());
-                             const HttpResponse &answer = response.assume_value();
-                             if (answer.status != statusOk)
-                                 return callback(objectError(answer, name));
-                             const auto *first = reinterpret_cast<const std::byte *>(answer.body.data());
-                             callback(ObjectBytes(first, first + answer.body.size()));
+                             const HttpResponse &received = response.assume_value();
+                             if (received.status != statusOk)
+                                 return callback(objectError(received, name));
+                             const auto *first = reinterpret_cast<const std::byte *>(received.body.data());
+                             callback(ObjectBytes(first, first + received.body.size()));
                          });
     };
     return port;
--- a/Libraries/LibPlatform/PlatformClient.h
+++ b/Libraries/LibPlatform/PlatformClient.h
@@ -23,7 +23,7 @@
     std::string bucket = "sagecrank";
     Milliseconds requestTimeout{1000}; // From the call of the port to the whole answer.
     std::uint32_t maximumInFlight = 32;
-    std::uint32_t maximumWaiting = 1024;
+    std::uint32_t maximumQueued = 1024;
 };
 
 // Requests by what the platform meters, for status and for measurements.
--- a/Libraries/LibPlatform/TableProtocol.cpp
+++ b/Libraries/LibPlatform/TableProtocol.cpp
@@ -19,28 +19,28 @@
     return {text.data(), text.size()};
 }
 
-json::object writeAttribute(const Attribute &attribute)
+json::object encodeAttribute(const Attribute &attribute)
 {
     if (const auto *text = std::get_if<std::string>(&attribute))
         return {{"S", *text}};
     return {{"N", std::to_string(std::get<std::uint64_t>(attribute))}};
 }
 
-json::object writeKey(const RowKey &key)
+json::object encodeKey(const RowKey &key)
 {
     return {{"pk", {{"S", key.partition}}}, {"sk", {{"S", key.sort}}}};
 }
 
-json::object writeRow(const Row &row)
+json::object encodeRow(const Row &row)
 {
-    json::object item = writeKey(row.key);
+    json::object item = encodeKey(row.key);
     for (const auto &[name, value] : row.attributes)
-        item[name] = writeAttribute(value);
+        item[name] = encodeAttribute(value);
     return item;
 }
 
 // Attribute names go through placeholders, because the service reserves many ordinary words.
-void writeCondition(json::object &body, const PutCondition &condition)
+void encodeCondition(json::object &body, const PutCondition &condition)
 {
     std::string expression = condition.absent ? "attribute_not_exists(pk)" : "";
     json::object names;
@@ -50,7 +50,7 @@
         for (const auto &[name, value] : wanted) {
             const std::string index = std::to_string(names.size());
             names["#c" + index] = name;
-            values[":c" + index] = writeAttribute(value);
+            values[":c" + index] = encodeAttribute(value);
             all += (all.empty() ? "#c" : " AND #c") + index + " = :c" + index;
         }
         expression += (expression.empty() ? "(" : " OR (") + all + ")";
@@ -63,10 +63,10 @@
     }
 }
 
-json::object writePut(const std::string &table, const ConditionalPut &put)
+json::object encodeConditionalPut(const std::string &table, const ConditionalPut &put)
 {
-    json::object body{{"TableName", table}, {"Item", writeRow(put.row)}};
-    writeCondition(body, put.condition);
+    json::object body{{"TableName", table}, {"Item", encodeRow(put.row)}};
+    encodeCondition(body, put.condition);
     return body;
 }
 
@@ -85,7 +85,7 @@
 }
 
 // Attributes of kinds that the system does not write are left out, so a foreign column does no harm.
-std::optional<Attribute> readAttribute(const json::value &value)
+std::optional<Attribute> decodeAttribute(const json::value &value)
 {
     if (!value.is_object())
         return std::nullopt;
@@ -102,13 +102,13 @@
     return Attribute(parsed);
 }
 
-Result<Row> readRow(const json::value &value)
+Result<Row> decodeRow(const json::value &value)
 {
     if (!value.is_object())
         return malformed("an item is not an object");
     Row row;
     for (const auto &entry : value.as_object()) {
-        std::optional<Attribute> attribute = readAttribute(entry.value());
+        std::optional<Attribute> attribute = decodeAttribute(entry.value());
         if (attribute)
             row.attributes.emplace(std::string(entry.key()), std::move(*attribute));
     }
@@ -147,7 +147,7 @@
 // A status of 500 and above is given after the service, or something in front of it, took the request: a
 // write may have taken effect. Were it read as "nothing happened", a claim could be thought free while it
 // stands, or a publish be called refused after it won.
-Error answerError(const HttpResponse &response, Access access)
+Error errorFromResponse(const HttpResponse &response, Access access)
 {
     constexpr auto step = "use table";
     if (response.status != statusBadRequest) {
@@ -159,7 +159,7 @@
     return makeError(kindOf(type), step, "table", type.empty() ? "answered status 400" : type);
 }
 
-PutOutcome verdictOf(const json::value &reason)
+PutOutcome outcomeOf(const json::value &reason)
 {
     const json::value *code = reason.is_object() ? reason.as_object().if_contains("Code") : nullptr;
     if (code != nullptr && code->is_string() && view(code->as_string()) == "ConditionalCheckFailed")
@@ -169,26 +169,26 @@
 
 } // namespace
 
-std::string getBody(const std::string &table, const RowKey &key)
+std::string encodeGet(const std::string &table, const RowKey &key)
 {
     return json::serialize(
-        json::object{{"TableName", table}, {"Key", writeKey(key)}, {"ConsistentRead", true}});
+        json::object{{"TableName", table}, {"Key", encodeKey(key)}, {"ConsistentRead", true}});
 }
 
-std::string putBody(const std::string &table, const ConditionalPut &put)
+std::string encodePut(const std::string &table, const ConditionalPut &put)
 {
-    return json::serialize(writePut(table, put));
+    return json::serialize(encodeConditionalPut(table, put));
 }
 
-std::string transactBody(const std::string &table, const std::vector<ConditionalPut> &puts)
+std::string encodeTransaction(const std::string &table, const std::vector<ConditionalPut> &puts)
 {
     json::array items;
     for (const ConditionalPut &put : puts)
-        items.emplace_back(json::object{{"Put", writePut(table, put)}});
+        items.emplace_back(json::object{{"Put", encodeConditionalPut(table, put)}});
     return json::serialize(json::object{{"TransactItems", std::move(items)}});
 }
 
-std::string queryBody(const std::string &table, const QueryRequest &request)
+std::string encodeQuery(const std::string &table, const QueryRequest &request)
 {
     return json::serialize(json::object{{"TableName", table},
                                         {"KeyConditionExpression", "pk = :p"},
@@ -198,57 +198,57 @@
                                         {"Limit", static_cast<std::int64_t>(request.limit)}});
 }
 
-std::string deleteBody(const std::string &table, const RowKey &key)
+std::string encodeDelete(const std::string &table, const RowKey &key)
 {
-    return json::serialize(json::object{{"TableName", table}, {"Key", writeKey(key)}});
+    return json::serialize(json::object{{"TableName", table}, {"Key", encodeKey(key)}});
 }
 
-Result<std::optional<Row>> readGet(const HttpResponse &response)
+Result<std::optional<Row>> parseGetResponse(const HttpResponse &response)
 {
     if (response.status != statusOk)
-        return answerError(response, Access::Read);
+        return errorFromResponse(response, Access::Read);
     const json::object body = TRY(parseObject(response.body));
     const json::value *item = body.if_contains("Item");
     if (item == nullptr)
         return std::optional<Row>();
-    return std::optional<Row>(TRY(readRow(*item)));
+    return std::optional<Row>(TRY(decodeRow(*item)));
 }
 
-Result<std::vector<Row>> readQuery(const HttpResponse &response)
+Result<std::vector<Row>> parseQueryResponse(const HttpResponse &response)
 {
     if (response.status != statusOk)
-        return answerError(response, Access::Read);
+        return errorFromResponse(response, Access::Read);
     const json::object body = TRY(parseObject(response.body));
     const json::value *items = body.if_contains("Items");
     if (items == nullptr || !items->is_array())
         return malformed("the answer to a query has no items");
     std::vector<Row> rows;
     for (const json::value &item : items->as_array())
-        rows.push_back(TRY(readRow(item)));
+        rows.push_back(TRY(decodeRow(item)));
     return rows;
 }
 
-Result<void> readWrite(const HttpResponse &response)
+Result<void> parseWriteResponse(const HttpResponse &response)
 {
     if (response.status != statusOk)
-        return answerError(response, Access::Write);
+        return errorFromResponse(response, Access::Write);
     return success();
 }
 
-Result<TransactionResult> readTransaction(const HttpResponse &response, std::size_t count)
+Result<TransactionResult> parseTransactionResponse(const HttpResponse &response, std::size_t count)
 {
     if (response.status == statusOk)
         return TransactionResult(count, PutOutcome::Applied);
     const Result<json::object> body = parseObject(response.body);
     if (response.status != statusBadRequest || !body
         || errorType(body.assume_value()) != "TransactionCanceledException")
-        return answerError(response, Access::Write);
+        return errorFromResponse(response, Access::Write);
     const json::value *reasons = body.assume_value().if_contains("CancellationReasons");
     if (reasons == nullptr || !reasons->is_array() || reasons->as_array().size() != count)
         return makeError(ErrorKind::Refused, "use table", "table", "cancelled without usable reasons");
     TransactionResult result;
     for (const json::value &reason : reasons->as_array())
-        result.push_back(verdictOf(reason));
+        result.push_back(outcomeOf(reason));
     return result;
 }
 
--- a/Libraries/LibPlatform/TableProtocol.h
+++ b/Libraries/LibPlatform/TableProtocol.h
@@ -12,16 +12,16 @@
 
 enum class Access : std::uint8_t { Read, Write };
 
-std::string getBody(const std::string &table, const RowKey &key);
-std::string putBody(const std::string &table, const ConditionalPut &put);
-std::string transactBody(const std::string &table, const std::vector<ConditionalPut> &puts);
-std::string queryBody(const std::string &table, const QueryRequest &request);
-std::string deleteBody(const std::string &table, const RowKey &key);
+std::string encodeGet(const std::string &table, const RowKey &key);
+std::string encodePut(const std::string &table, const ConditionalPut &put);
+std::string encodeTransaction(const std::string &table, const std::vector<ConditionalPut> &puts);
+std::string encodeQuery(const std::string &table, const QueryRequest &request);
+std::string encodeDelete(const std::string &table, const RowKey &key);
 
-Result<std::optional<Row>> readGet(const HttpResponse &response);
-Result<std::vector<Row>> readQuery(const HttpResponse &response);
-Result<void> readWrite(const HttpResponse &response);
+Result<std::optional<Row>> parseGetResponse(const HttpResponse &response);
+Result<std::vector<Row>> parseQueryResponse(const HttpResponse &response);
+Result<void> parseWriteResponse(const HttpResponse &response);
 // `count` is the number of puts that were sent.
-Result<TransactionResult> readTransaction(const HttpResponse &response, std::size_t count);
+Result<TransactionResult> parseTransactionResponse(const HttpResponse &response, std::size_t count);
 
 } // namespace Sagecrank::TableProtocol
--- a/Tests/LibPlatform/TestPlatformClient.cpp
+++ b/Tests/LibPlatform/TestPlatformClient.cpp
@@ -18,10 +18,10 @@
 using Exchange = std::shared_ptr<HttpExchange>;
 
 // A platform whose answers the test gives.
-class Fake
+class FakeServer
 {
 public:
-    explicit Fake(HttpHandler handler)
+    explicit FakeServer(HttpHandler handler)
         : server(this->context, {}, std::move(handler))
     {
         // Each test is a process of its own, and several run at once.
@@ -55,22 +55,23 @@
     std::string address;
 };
 
-Result<void> putOnce(Fake &fake, PlatformClient &client)
+Result<void> putOnce(FakeServer &fake, PlatformClient &client)
 {
-    std::optional<Result<void>> answer;
-    client.tablePort().putIf({{{"a", "b"}, {}}, {}}, [&](Result<void> given) { answer = std::move(given); });
-    fake.runUntil([&] { return answer.has_value(); });
-    return *answer;
+    std::optional<Result<void>> result;
+    client.tablePort().putIf({{{"a", "b"}, {}}, {}},
+                             [&](Result<void> received) { result = std::move(received); });
+    fake.runUntil([&] { return result.has_value(); });
+    return *result;
 }
 
 } // namespace
 
-Test(platformClient, readsBackWhatItStores)
+Test(platformClient, writesAndReadsObjects)
 {
-    std::vector<std::string> seen;
-    Fake fake([&](const HttpRequest &request, const Exchange &exchange) {
-        seen.push_back(request.method + " " + request.target + " "
-                       + std::string(findHeader(request.headers, "X-Amz-Target")));
+    std::vector<std::string> receivedRequests;
+    FakeServer fake([&](const HttpRequest &request, const Exchange &exchange) {
+        receivedRequests.push_back(request.method + " " + request.target + " "
+                                   + std::string(findHeader(request.headers, "X-Amz-Target")));
         const bool read = request.method == "GET";
         exchange->respond(makeResponse(200, "application/octet-stream", read ? std::string("\0x", 2) : "{}"));
     });
@@ -80,67 +81,69 @@
     const ObjectPort objects = client.objectPort();
     objects.put("section/1", ObjectBytes(3), [&](const Result<void> &put) {
         cr_assert(put.has_value());
-        objects.get("section/1", [&](Result<ObjectBytes> given) { bytes = std::move(given); });
+        objects.get("section/1", [&](Result<ObjectBytes> received) { bytes = std::move(received); });
     });
     fake.runUntil([&] { return bytes.has_value(); });
     cr_assert(bytes->value() == ObjectBytes({std::byte{0}, std::byte{'x'}}));
-    const std::vector<std::string> wanted = {"POST / DynamoDB_20120810.PutItem", "PUT /sagecrank/section/1 ",
-                                             "GET /sagecrank/section/1 "};
-    cr_assert(seen == wanted);
+    const std::vector<std::string> expected = {"POST / DynamoDB_20120810.PutItem",
+                                               "PUT /sagecrank/section/1 ", "GET /sagecrank/section/1 "};
+    cr_assert(receivedRequests == expected);
     cr_assert(client.counters().tableWrites == 1);
     cr_assert(client.counters().objectWrites == 1 && client.counters().objectReads == 1);
 }
 
 // Nothing listens there, so no byte left: the write certainly did not take effect.
-Test(platformClient, aRefusedConnectionIsUnavailable)
+Test(platformClient, refusedConnectionIsUnavailable)
 {
     boost::asio::io_context context(1);
     PlatformClientSettings settings;
     settings.table = "127.0.0.1:1";
     PlatformClient client(context, settings);
-    std::optional<Result<void>> answer;
-    client.tablePort().putIf({{{"a", "b"}, {}}, {}}, [&](Result<void> given) { answer = std::move(given); });
+    std::optional<Result<void>> result;
+    client.tablePort().putIf({{{"a", "b"}, {}}, {}},
+                             [&](Result<void> received) { result = std::move(received); });
     context.run();
-    cr_assert(answer->error().kind == ErrorKind::Unavailable, "%s", answer->error().describe().c_str());
+    cr_assert(result->error().kind == ErrorKind::Unavailable, "%s", result->error().describe().c_str());
     cr_assert(client.counters().notSent == 1);
 }
 
 // The platform took the request and never answers, or closes: the write may have taken effect.
-Test(platformClient, aSilentPlatformLeavesTheEffectUnknown)
+Test(platformClient, unresponsivePlatformLeavesEffectUnknown)
 {
-    std::vector<Exchange> held;
-    Fake fake([&](const HttpRequest &, const Exchange &exchange) { held.push_back(exchange); });
+    std::vector<Exchange> heldExchanges;
+    FakeServer fake(
+        [&](const HttpRequest &, const Exchange &exchange) { heldExchanges.push_back(exchange); });
     PlatformClient client(fake.context, fake.settings());
     cr_assert(putOnce(fake, client).error().kind == ErrorKind::Timeout);
     boost::asio::steady_timer close(fake.context, Milliseconds(50));
     close.async_wait([&](const boost::system::error_code &) { fake.server.closeAll(); });
     cr_assert(putOnce(fake, client).error().kind == ErrorKind::Timeout);
-    cr_assert(held.size() == 2);
+    cr_assert(heldExchanges.size() == 2);
     cr_assert(client.counters().notSent == 0);
-    held.clear(); // A connection belongs to the server's context and may not outlive it.
+    heldExchanges.clear(); // A connection belongs to the server's context and may not outlive it.
 }
 
 // A slow platform under many requests: what waited past its time was never sent, and what does not fit in the
 // queue is refused at once. Both certainly had no effect.
-Test(platformClient, whatWaitsTooLongWasNeverSent)
+Test(platformClient, queueTimeoutWasNeverSent)
 {
     std::size_t arrived = 0;
-    std::vector<Exchange> held;
-    Fake fake([&](const HttpRequest &, const Exchange &exchange) {
+    std::vector<Exchange> heldExchanges;
+    FakeServer fake([&](const HttpRequest &, const Exchange &exchange) {
         ++arrived;
-        held.push_back(exchange);
+        heldExchanges.push_back(exchange);
     });
     PlatformClientSettings settings = fake.settings();
     settings.requestTimeout = Milliseconds(1000);
     settings.maximumInFlight = 2;
-    settings.maximumWaiting = 3;
+    settings.maximumQueued = 3;
     PlatformClient client(fake.context, settings);
     const TablePort table = client.tablePort();
     std::size_t unavailable = 0;
     std::size_t unknown = 0;
     for (int i = 0; i < 7; ++i) {
-        table.putIf({{{"a", std::to_string(i)}, {}}, {}}, [&](const Result<void> &answer) {
-            ++(answer.error().kind == ErrorKind::Unavailable ? unavailable : unknown);
+        table.putIf({{{"a", std::to_string(i)}, {}}, {}}, [&](const Result<void> &result) {
+            ++(result.error().kind == ErrorKind::Unavailable ? unavailable : unknown);
         });
     }
     cr_assert(unavailable + unknown == 0, "never from inside the call");
@@ -150,17 +153,17 @@
     cr_assert(arrived == 2, "%zu arrived", arrived);
     cr_assert(unknown == 2, "%zu unknown", unknown);
     cr_assert(unavailable == 5, "%zu unavailable", unavailable);
-    held.clear(); // A connection belongs to the server's context and may not outlive it.
+    heldExchanges.clear(); // A connection belongs to the server's context and may not outlive it.
 }
 
-Test(platformClient, aMissingObjectIsNotFound)
+Test(platformClient, missingObjectIsNotFound)
 {
-    Fake fake([](const HttpRequest &, const Exchange &exchange) {
+    FakeServer fake([](const HttpRequest &, const Exchange &exchange) {
         exchange->respond(makeResponse(404, "application/xml", "<Error><Code>NoSuchKey</Code></Error>"));
     });
     PlatformClient client(fake.context, fake.settings());
     std::optional<Result<ObjectBytes>> bytes;
-    client.objectPort().get("section/1", [&](Result<ObjectBytes> given) { bytes = std::move(given); });
+    client.objectPort().get("section/1", [&](Result<ObjectBytes> received) { bytes = std::move(received); });
     fake.runUntil([&] { return bytes.has_value(); });
     cr_assert(bytes->error().kind == ErrorKind::NotFound);
 }
@@ -175,8 +178,8 @@
         PlatformClient client(context, settings);
         table = client.tablePort();
     }
-    std::optional<Result<void>> answer;
-    table.putIf({{{"a", "b"}, {}}, {}}, [&](Result<void> given) { answer = std::move(given); });
+    std::optional<Result<void>> result;
+    table.putIf({{{"a", "b"}, {}}, {}}, [&](Result<void> received) { result = std::move(received); });
     context.run();
-    cr_assert(answer->error().kind == ErrorKind::Unavailable);
+    cr_assert(result->error().kind == ErrorKind::Unavailable);
 }
--- a/Tests/LibPlatform/TestTableProtocol.cpp
+++ b/Tests/LibPlatform/TestTableProtocol.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-struct AnswerRow
+struct ResponseRow
 {
     const char *name;
     std::uint32_t status;
@@ -17,25 +17,25 @@
     std::optional<ErrorKind> read;
 };
 
-std::string typed(const std::string &type)
+std::string errorBody(const std::string &type)
 {
     return R"({"__type":"com.amazonaws.dynamodb.v20120810#)" + type + R"(","message":"m"})";
 }
 
 using Kind = ErrorKind;
 
-const AnswerRow answerRows[] = {
+const ResponseRow responseRows[] = {
     {"done", 200, "{}", std::nullopt, std::nullopt},
-    {"condition failed", 400, typed("ConditionalCheckFailedException"), Kind::Conflict, Kind::Conflict},
+    {"condition failed", 400, errorBody("ConditionalCheckFailedException"), Kind::Conflict, Kind::Conflict},
     {"type without a prefix", 400, R"({"__type":"ConditionalCheckFailedException"})", Kind::Conflict,
      Kind::Conflict},
-    {"throttled", 400, typed("ProvisionedThroughputExceededException"), Kind::Refused, Kind::Refused},
-    {"throttled otherwise", 400, typed("ThrottlingException"), Kind::Refused, Kind::Refused},
-    {"another transaction", 400, typed("TransactionConflictException"), Kind::Refused, Kind::Refused},
-    {"an earlier copy runs", 400, typed("TransactionInProgressException"), Kind::Timeout, Kind::Timeout},
-    {"bad request", 400, typed("ValidationException"), Kind::InvalidInput, Kind::InvalidInput},
+    {"throttled", 400, errorBody("ProvisionedThroughputExceededException"), Kind::Refused, Kind::Refused},
+    {"throttled otherwise", 400, errorBody("ThrottlingException"), Kind::Refused, Kind::Refused},
+    {"another transaction", 400, errorBody("TransactionConflictException"), Kind::Refused, Kind::Refused},
+    {"an earlier copy runs", 400, errorBody("TransactionInProgressException"), Kind::Timeout, Kind::Timeout},
+    {"bad request", 400, errorBody("ValidationException"), Kind::InvalidInput, Kind::InvalidInput},
     {"bad request without a body", 400, "", Kind::InvalidInput, Kind::InvalidInput},
-    {"server fault", 500, typed("InternalServerError"), Kind::Timeout, Kind::Unavailable},
+    {"server fault", 500, errorBody("InternalServerError"), Kind::Timeout, Kind::Unavailable},
     {"something in front", 503, "service unavailable", Kind::Timeout, Kind::Unavailable},
     {"gateway gave up", 504, "", Kind::Timeout, Kind::Unavailable},
 };
@@ -44,18 +44,18 @@
 {
     const char *name;
     std::string reasons;
-    std::optional<TransactionResult> verdicts; // None when the whole is refused.
+    std::optional<TransactionResult> outcomes; // None when the whole is refused.
 };
 
-using Verdict = PutOutcome;
+using Outcome = PutOutcome;
 
 const CancelRow cancelRows[] = {
     {"second failed", R"([{"Code":"None"},{"Code":"ConditionalCheckFailed","Message":"m"}])",
-     TransactionResult{Verdict::NotApplied, Verdict::ConditionFailed}},
+     TransactionResult{Outcome::NotApplied, Outcome::ConditionFailed}},
     {"both failed", R"([{"Code":"ConditionalCheckFailed"},{"Code":"ConditionalCheckFailed"}])",
-     TransactionResult{Verdict::ConditionFailed, Verdict::ConditionFailed}},
+     TransactionResult{Outcome::ConditionFailed, Outcome::ConditionFailed}},
     {"busy with others", R"([{"Code":"TransactionConflict"},{"Code":"None"}])",
-     TransactionResult{Verdict::NotApplied, Verdict::NotApplied}},
+     TransactionResult{Outcome::NotApplied, Outcome::NotApplied}},
     {"too few reasons", R"([{"Code":"None"}])", std::nullopt},
     {"no list", R"("none")", std::nullopt},
 };
@@ -68,61 +68,61 @@
 
 } // namespace
 
-TABLE_TEST(tableProtocol, errorsSayWhetherAnythingTookEffect, answerRows)
+TABLE_TEST(tableProtocol, errorsTellWhetherWriteTookEffect, responseRows)
 {
     const HttpResponse response{row.status, {}, row.body};
-    const Result<void> write = TableProtocol::readWrite(response);
+    const Result<void> write = TableProtocol::parseWriteResponse(response);
     cr_assert(write.has_value() == !row.write, "%s", row.name);
     if (row.write)
         cr_assert(write.error().kind == *row.write, "%s: %s", row.name, write.error().describe().c_str());
-    const auto transaction = TableProtocol::readTransaction(response, 2);
+    const auto transaction = TableProtocol::parseTransactionResponse(response, 2);
     cr_assert(transaction.has_value() == !row.write, "%s", row.name);
     if (row.write)
         cr_assert(transaction.error().kind == *row.write, "%s", row.name);
-    const auto read = TableProtocol::readGet(response);
+    const auto read = TableProtocol::parseGetResponse(response);
     cr_assert(read.has_value() == !row.read, "%s", row.name);
     if (row.read)
         cr_assert(read.error().kind == *row.read, "%s", row.name);
 }
 
-TABLE_TEST(tableProtocol, cancelledTransactionsNameTheirReasons, cancelRows)
+TABLE_TEST(tableProtocol, parsesCancellationReasons, cancelRows)
 {
     const std::string body =
         R"({"__type":"x#TransactionCanceledException","CancellationReasons":)" + row.reasons + "}";
-    const auto result = TableProtocol::readTransaction({400, {}, body}, 2);
-    cr_assert(result.has_value() == row.verdicts.has_value(), "%s", row.name);
-    if (row.verdicts)
-        cr_assert(result.value() == *row.verdicts, "%s", row.name);
+    const auto result = TableProtocol::parseTransactionResponse({400, {}, body}, 2);
+    cr_assert(result.has_value() == row.outcomes.has_value(), "%s", row.name);
+    if (row.outcomes)
+        cr_assert(result.value() == *row.outcomes, "%s", row.name);
     else
         cr_assert(result.error().kind == ErrorKind::Refused, "%s", row.name);
 }
 
 // The condition is the whole safety of claims and of the head, so its text is compared word for word.
-Test(tableProtocol, conditionsAreWrittenInFull)
+Test(tableProtocol, encodesCompleteConditions)
 {
-    const std::string body = TableProtocol::putBody("t", samplePut());
-    const std::string wanted =
+    const std::string body = TableProtocol::encodePut("t", samplePut());
+    const std::string expected =
         R"j("ConditionExpression":"attribute_not_exists(pk) OR (#c0 = :c0 AND #c1 = :c1)",)j"
         R"j("ExpressionAttributeNames":{"#c0":"attempt","#c1":"claim_state"},)j"
         R"j("ExpressionAttributeValues":{":c0":{"S":"a1"},":c1":{"S":"claimed"}})j";
-    cr_assert(body.find(wanted) != std::string::npos, "%s", body.c_str());
+    cr_assert(body.find(expected) != std::string::npos, "%s", body.c_str());
     ConditionalPut either = samplePut();
     either.condition = {false, {{{"attempt", std::string("a")}}, {{"attempt", std::string("b")}}}};
-    const std::string two = TableProtocol::putBody("t", either);
+    const std::string two = TableProtocol::encodePut("t", either);
     cr_assert(two.find(R"j("(#c0 = :c0) OR (#c1 = :c1)")j") != std::string::npos, "%s", two.c_str());
     either.condition = {};
-    cr_assert(TableProtocol::putBody("t", either).find("Condition") == std::string::npos);
+    cr_assert(TableProtocol::encodePut("t", either).find("Condition") == std::string::npos);
 }
 
-Test(tableProtocol, rowsKeepTheirValues)
+Test(tableProtocol, decodesRows)
 {
     const HttpResponse response{
         200,
         {},
         R"({"Item":{"pk":{"S":"claim#k"},"sk":{"S":"claim"},"attempt":{"S":"a1"},"deadline":{"N":"7"},"x":{"BOOL":true}}})"};
-    const std::optional<Row> read = TableProtocol::readGet(response).value();
+    const std::optional<Row> read = TableProtocol::parseGetResponse(response).value();
     cr_assert(*read == samplePut().row);
-    cr_assert(!TableProtocol::readGet({200, {}, "{}"}).value());
-    cr_assert(!TableProtocol::readGet({200, {}, R"({"Item":{"attempt":{"S":"a"}}})"}));
-    cr_assert(!TableProtocol::readQuery({200, {}, "{}"}));
+    cr_assert(!TableProtocol::parseGetResponse({200, {}, "{}"}).value());
+    cr_assert(!TableProtocol::parseGetResponse({200, {}, R"({"Item":{"attempt":{"S":"a"}}})"}));
+    cr_assert(!TableProtocol::parseQueryResponse({200, {}, "{}"}));
 }
--- a/Utilities/ConfigBench/Platform.cpp
+++ b/Utilities/ConfigBench/Platform.cpp
@@ -20,7 +20,7 @@
     PlatformClientSettings client;
     client.table = settings.platform;
     client.objects = settings.platform;
-    client.maximumWaiting = 100000;
+    client.maximumQueued = 100000;
     client.requestTimeout = Milliseconds(5000);
     return client;
 }
