--- a/Services/UpstreamEmulator/Main.cpp
+++ b/Services/UpstreamEmulator/Main.cpp
@@ -7,7 +7,7 @@
 #include <LibCommandLine/CommandLine.h>
 #include <LibObserve/EventLog.h>
 
-#include <platform/StandInServer.h>
+#include <platform/EmulatedServer.h>
 
 #include <boost/asio/signal_set.hpp>
 #include <boost/program_options.hpp>
--- a/Tests/Platform/PlatformGate.h
+++ b/Tests/Platform/PlatformGate.h
@@ -6,7 +6,7 @@
 #include <LibNet/HttpClient.h>
 #include <Node/Gate/GateCall.h>
 #include <Node/Gate/LocalGate.h>
-#include <platform/StandInServer.h>
+#include <platform/EmulatedServer.h>
 
 #include <criterion/criterion.h>
 
--- a/Tests/Platform/TestHostileInput.cpp
+++ b/Tests/Platform/TestHostileInput.cpp
@@ -8,7 +8,7 @@
 #include <Support/Mutations.h>
 #include <Support/TableTest.h>
 #include <platform/ConfigurationDocument.h>
-#include <platform/InstanceCalls.h>
+#include <platform/InstanceApi.h>
 #include <platform/RowsClient.h>
 #include <platform/RowsProtocol.h>
 
--- a/Tests/Platform/TestInstanceCalls.cpp
+++ b/Tests/Platform/TestInstanceApi.cpp
@@ -1,8 +1,8 @@
 // Check-ins and goodbyes of the server beside a node, from the wire to what the node believes.
 #include <Node/Upstream/UpstreamPresence.h>
 #include <Support/TableTest.h>
-#include <platform/InstanceCalls.h>
-#include <platform/StandInServer.h>
+#include <platform/EmulatedServer.h>
+#include <platform/InstanceApi.h>
 
 using namespace Sagecrank;
 
