--- a/Services/RowsEmulator/RowStore.cpp
+++ b/Services/RowsEmulator/RowStore.cpp
@@ -3,12 +3,12 @@
 
 namespace Sagecrank {
 
-using Platform::NamedRow;
+using Platform::QualifiedRow;
 using Platform::RowWrite;
 
-NamedRow RowStore::named(const Name &name) const
+QualifiedRow RowStore::named(const Name &name) const
 {
-    NamedRow row{name.table, name.part, {}};
+    QualifiedRow row{name.table, name.part, {}};
     row.row.key = name.key;
     const auto found = this->table.find(name);
     if (found == this->table.end())
@@ -18,18 +18,18 @@
     return row;
 }
 
-bool RowStore::holds(const RowWrite &write, const NamedRow &standing)
+bool RowStore::holds(const RowWrite &write, const QualifiedRow &standing)
 {
     if (!write.expectedRevision)
         return true;
     return *write.expectedRevision == (standing.row.removed ? 0 : standing.row.revision);
 }
 
-std::optional<std::vector<NamedRow>> RowStore::apply(const std::vector<RowWrite> &writes)
+std::optional<std::vector<QualifiedRow>> RowStore::apply(const std::vector<RowWrite> &writes)
 {
-    std::vector<NamedRow> refused;
+    std::vector<QualifiedRow> refused;
     for (const RowWrite &write : writes) {
-        const NamedRow standing = this->named({write.table, write.part, write.key});
+        const QualifiedRow standing = this->named({write.table, write.part, write.key});
         if (!holds(write, standing))
             refused.push_back(standing);
     }
@@ -53,9 +53,9 @@
     this->historyFrom = this->revision;
 }
 
-std::vector<NamedRow> RowStore::rows(const Platform::RowsRange &range) const
+std::vector<QualifiedRow> RowStore::rows(const Platform::RowsRange &range) const
 {
-    std::vector<NamedRow> found;
+    std::vector<QualifiedRow> found;
     for (auto entry = this->table.lower_bound({range.table, range.part, range.from});
          entry != this->table.end() && found.size() < range.limit; ++entry) {
         const Name &name = entry->first;
@@ -67,16 +67,16 @@
     return found;
 }
 
-std::optional<std::vector<NamedRow>> RowStore::changesAfter(const std::string &table,
-                                                            std::uint64_t after) const
+std::optional<std::vector<QualifiedRow>> RowStore::changesAfter(const std::string &table,
+                                                                std::uint64_t after) const
 {
     if (after < this->historyFrom || after > this->revision)
         return std::nullopt;
-    std::vector<NamedRow> changes;
+    std::vector<QualifiedRow> changes;
     for (const Change &change : this->history) {
         if (change.revision <= after || change.name.table != table)
             continue;
-        NamedRow row = this->named(change.name);
+        QualifiedRow row = this->named(change.name);
         row.row.revision = change.revision;
         changes.push_back(std::move(row));
     }
--- a/Services/RowsEmulator/RowStore.h
+++ b/Services/RowsEmulator/RowStore.h
@@ -20,14 +20,14 @@
     // Commands.
 
     // All of the writes or none. Nothing: they took effect; else the rows whose condition did not hold.
-    std::optional<std::vector<Platform::NamedRow>> apply(const std::vector<Platform::RowWrite> &writes);
+    std::optional<std::vector<Platform::QualifiedRow>> apply(const std::vector<Platform::RowWrite> &writes);
     void dropHistory();
 
     // Queries.
-    std::vector<Platform::NamedRow> rows(const Platform::RowsRange &range) const;
+    std::vector<Platform::QualifiedRow> rows(const Platform::RowsRange &range) const;
     // Nothing when the history since then is gone, or has not been yet.
-    std::optional<std::vector<Platform::NamedRow>> changesAfter(const std::string &table,
-                                                                std::uint64_t revision) const;
+    std::optional<std::vector<Platform::QualifiedRow>> changesAfter(const std::string &table,
+                                                                    std::uint64_t revision) const;
     std::uint64_t newest() const { return this->revision; }
 
 private:
@@ -47,8 +47,8 @@
         bool removed = false;
     };
 
-    Platform::NamedRow named(const Name &name) const;
-    static bool holds(const Platform::RowWrite &write, const Platform::NamedRow &standing);
+    Platform::QualifiedRow named(const Name &name) const;
+    static bool holds(const Platform::RowWrite &write, const Platform::QualifiedRow &standing);
 
     std::map<Name, Platform::StoredRow> table;
     std::deque<Change> history; // In order of revisions.
--- a/Services/RowsEmulator/RowsService.cpp
+++ b/Services/RowsEmulator/RowsService.cpp
@@ -9,7 +9,7 @@
 
 namespace Sagecrank {
 
-using Platform::NamedRow;
+using Platform::QualifiedRow;
 using Platform::RowsCall;
 using Platform::RowsRequest;
 
@@ -33,7 +33,7 @@
     const auto milliseconds = [&object](std::string_view name) -> Result<Milliseconds> {
         if (!Platform::hasField(object, name))
             return Milliseconds(0);
-        return Milliseconds(TRY(Platform::wholeField(object, name, longestDrill)));
+        return Milliseconds(TRY(Platform::unsignedField(object, name, longestDrill)));
     };
     ReturnSettings drill;
     drill.away = TRY(milliseconds("away_ms"));
@@ -74,7 +74,7 @@
         return this->answer(*exchange, makeResponse(400, "text/plain", decoded.error().describe() + "\n"));
     RateLimit &limit = decoded.value().call == RowsCall::Write ? this->writes : this->reads;
     if (!limit.take(1, SteadyClock::now()))
-        return this->answer(*exchange, Platform::encodeBusy());
+        return this->answer(*exchange, Platform::encodeThrottled());
     this->later(this->settings.answerTime + fault.delay,
                 [this, request = decoded.value(), exchange, door] { this->run(request, exchange, door); });
 }
@@ -158,8 +158,8 @@
         else
             watch->exchange->drop();
     }
-    std::vector<NamedRow> written = this->stillLost();
-    for (NamedRow &row : this->othersRows())
+    std::vector<QualifiedRow> written = this->stillLost();
+    for (QualifiedRow &row : this->othersRows())
         written.push_back(std::move(row));
     this->lost = std::move(written);
     if (drill.away == Milliseconds(0))
@@ -187,7 +187,7 @@
 // In another order than before.
 void RowsService::writeAgain()
 {
-    std::vector<NamedRow> rows = this->stillLost();
+    std::vector<QualifiedRow> rows = this->stillLost();
     this->lost.clear();
     for (auto row = rows.rbegin(); row != rows.rend(); ++row)
         this->store.apply({{row->table, row->part, row->row.key, row->row.value, false, std::nullopt}});
@@ -195,12 +195,12 @@
 }
 
 // Without what stands as it was, and without what was written anew since the return.
-std::vector<NamedRow> RowsService::stillLost() const
+std::vector<QualifiedRow> RowsService::stillLost() const
 {
-    const std::vector<NamedRow> standing = this->othersRows();
-    std::vector<NamedRow> rows;
-    for (const NamedRow &row : this->lost) {
-        const auto held = std::ranges::find_if(standing, [&row](const NamedRow &other) {
+    const std::vector<QualifiedRow> standing = this->othersRows();
+    std::vector<QualifiedRow> rows;
+    for (const QualifiedRow &row : this->lost) {
+        const auto held = std::ranges::find_if(standing, [&row](const QualifiedRow &other) {
             return other.table == row.table && other.row.key == row.row.key;
         });
         const bool isLost = held == standing.end()
@@ -211,12 +211,12 @@
     return rows;
 }
 
-std::vector<NamedRow> RowsService::othersRows() const
+std::vector<QualifiedRow> RowsService::othersRows() const
 {
     constexpr std::uint32_t all = UINT32_MAX;
-    std::vector<NamedRow> rows;
+    std::vector<QualifiedRow> rows;
     for (const char *table : othersTables) {
-        for (NamedRow &row : this->store.rows({table, {}, {}, {}, all}))
+        for (QualifiedRow &row : this->store.rows({table, {}, {}, {}, all}))
             rows.push_back(std::move(row));
     }
     return rows;
@@ -226,15 +226,15 @@
 {
     const std::string stated = this->eraText.value_or(std::to_string(this->era));
     if (!stated.empty())
-        Platform::stateEra(response, stated);
+        Platform::addEraHeader(response, stated);
     exchange.respond(std::move(response));
 }
 
-std::optional<std::vector<NamedRow>> RowsService::changesAfter(const std::string &table,
-                                                               std::uint64_t revision) const
+std::optional<std::vector<QualifiedRow>> RowsService::changesAfter(const std::string &table,
+                                                                   std::uint64_t revision) const
 {
     if (this->quiet && revision > this->store.newest())
-        return std::vector<NamedRow>();
+        return std::vector<QualifiedRow>();
     return this->store.changesAfter(table, revision);
 }
 
@@ -270,14 +270,14 @@
     if (fate == WriteFate::AnswerLost)
         return exchange->drop();
     this->answer(*exchange, refused ? Platform::encodeConflict(*refused, this->store.newest())
-                                    : Platform::encodeWritten(this->store.newest()));
+                                    : Platform::encodeWriteSuccess(this->store.newest()));
 }
 
 void RowsService::watch(const RowsRequest &request, const std::shared_ptr<HttpExchange> &exchange)
 {
     const auto changes = this->changesAfter(request.range.table, request.after);
     if (!changes)
-        return this->answer(*exchange, Platform::encodeHistoryGone());
+        return this->answer(*exchange, Platform::encodeHistoryExpired());
     if (!changes->empty() || request.wait == Milliseconds(0))
         return this->answer(*exchange, Platform::encodeRows(*changes, this->store.newest()));
     const auto watch = std::make_shared<Watch>(this->context, exchange);
@@ -305,7 +305,7 @@
         entry = this->watches.erase(entry);
         watch->timer.cancel();
         this->answer(*watch->exchange, changes ? Platform::encodeRows(*changes, this->store.newest())
-                                               : Platform::encodeHistoryGone());
+                                               : Platform::encodeHistoryExpired());
     }
 }
 
--- a/Services/RowsEmulator/RowsService.h
+++ b/Services/RowsEmulator/RowsService.h
@@ -82,11 +82,11 @@
     HttpResponse commandEra(const std::string &text);
     void comeBack(const ReturnSettings &drill);
     void writeAgain();
-    std::vector<Platform::NamedRow> stillLost() const;
-    std::vector<Platform::NamedRow> othersRows() const;
+    std::vector<Platform::QualifiedRow> stillLost() const;
+    std::vector<Platform::QualifiedRow> othersRows() const;
     void answer(HttpExchange &exchange, HttpResponse response) const;
-    std::optional<std::vector<Platform::NamedRow>> changesAfter(const std::string &table,
-                                                                std::uint64_t revision) const;
+    std::optional<std::vector<Platform::QualifiedRow>> changesAfter(const std::string &table,
+                                                                    std::uint64_t revision) const;
     Faults &faultsAt(std::size_t door);
     void run(const Platform::RowsRequest &request, const std::shared_ptr<HttpExchange> &exchange,
              std::size_t door);
@@ -101,8 +101,8 @@
     const FaultsSet faultsSet;
     RowStore store;
     std::optional<RowStore> copy;
-    std::vector<Platform::NamedRow> lost; // Of the operator and the servers; until it is written again.
-    std::uint64_t returnedAt = 0;         // The newest revision then.
+    std::vector<Platform::QualifiedRow> lost; // Of the operator and the servers; until it is written again.
+    std::uint64_t returnedAt = 0;             // The newest revision then.
     std::uint64_t era = 1;
     std::optional<std::string> eraText;
     bool away = false;
--- a/Services/UpstreamEmulator/Main.cpp
+++ b/Services/UpstreamEmulator/Main.cpp
@@ -107,9 +107,9 @@
             this->service.handle(context, std::move(request), std::move(exchange));
         };
         if (!this->settings.instance.empty()) {
-            handler = Platform::asPlatformServer(this->settings.instance, std::move(handler));
+            handler = Platform::wrapPlatformHandler(this->settings.instance, std::move(handler));
             server.answerBeforeBody =
-                Platform::asPlatformEarlyAnswer(this->settings.instance, std::move(server.answerBeforeBody));
+                Platform::wrapEarlyResponse(this->settings.instance, std::move(server.answerBeforeBody));
         }
         this->servers.push_back(std::make_unique<HttpServer>(context, server, std::move(handler)));
         return this->servers.back()->listen(this->settings.listen);
--- a/Tests/Platform/StoreFixture.h
+++ b/Tests/Platform/StoreFixture.h
@@ -65,9 +65,9 @@
         return holds();
     }
 
-    Result<Platform::RowsAnswer> rows(const std::string &table)
+    Result<Platform::RowsResponse> rows(const std::string &table)
     {
-        return this->await<Result<Platform::RowsAnswer>>([&](auto done) {
+        return this->await<Result<Platform::RowsResponse>>([&](auto done) {
             this->client->get({table, {}, {}, {}, 100}, ConnectionChoice::Kept, done);
         });
     }
--- a/Tests/Platform/TestEmulatorRestore.cpp
+++ b/Tests/Platform/TestEmulatorRestore.cpp
@@ -21,13 +21,13 @@
     Told send(const std::string &method, const std::string &target, const std::string &body = {})
     {
         return this->await<Told>([&](auto done) {
-            this->plain.send(
-                this->server.address(), {method, target, {}, body}, std::chrono::seconds(5),
-                [done](const HttpFailure *failure, const HttpResponse &response) {
-                    if (failure != nullptr)
-                        return done(Told{});
-                    done(Told{response.status, std::string(Platform::statedEra(response)), response.body});
-                });
+            this->plain.send(this->server.address(), {method, target, {}, body}, std::chrono::seconds(5),
+                             [done](const HttpFailure *failure, const HttpResponse &response) {
+                                 if (failure != nullptr)
+                                     return done(Told{});
+                                 done(Told{response.status, std::string(Platform::findEraHeader(response)),
+                                           response.body});
+                             });
         });
     }
 
@@ -38,7 +38,7 @@
 
     std::string valueOf(const std::string &table, const std::string &key)
     {
-        const Result<Platform::RowsAnswer> found = this->rows(table);
+        const Result<Platform::RowsResponse> found = this->rows(table);
         cr_assert(found.has_value());
         for (const Platform::StoredRow &row : found.value().rows) {
             if (row.key == key)
--- a/Tests/Platform/TestFaultyServer.cpp
+++ b/Tests/Platform/TestFaultyServer.cpp
@@ -36,10 +36,10 @@
     {
         HttpServerSettings settings;
         settings.rewriteAnswer = breakMarked;
-        settings.answerBeforeBody = Platform::asPlatformEarlyAnswer(
+        settings.answerBeforeBody = Platform::wrapEarlyResponse(
             "i-1", [this](const HttpRequest &header) { return this->service.refuseEarly(header); });
         this->server.emplace(this->context, settings,
-                             Platform::asPlatformServer(
+                             Platform::wrapPlatformHandler(
                                  "i-1", [this](HttpRequest request, std::shared_ptr<HttpExchange> exchange) {
                                      this->service.handle(this->context, std::move(request),
                                                           std::move(exchange));
--- a/Tests/Platform/TestHostileInput.cpp
+++ b/Tests/Platform/TestHostileInput.cpp
@@ -103,7 +103,7 @@
         if (ended == reads)
             return context.stop();
         client.get({"op", {}, "config", {}, 1}, ConnectionChoice::Kept,
-                   [&](const Result<Platform::RowsAnswer> &) {
+                   [&](const Result<Platform::RowsResponse> &) {
                        ++ended;
                        boost::asio::post(context, readNext);
                    });
--- a/Tests/Platform/TestInstanceApi.cpp
+++ b/Tests/Platform/TestInstanceApi.cpp
@@ -25,7 +25,7 @@
 
     std::uint32_t put(const std::string &id, const std::string &body)
     {
-        return this->calls.answer({"PUT", "/api/instances/" + id, {}, body}, this->node).status;
+        return this->api.handle({"PUT", "/api/instances/" + id, {}, body}, this->node).status;
     }
 
     std::uint32_t checkIn(const std::string &id, const char *state, int sequence, int born)
@@ -39,10 +39,10 @@
 
     std::uint32_t leave(const std::string &id)
     {
-        return this->calls.answer({"DELETE", "/api/instances/" + id, {}, {}}, this->node).status;
+        return this->api.handle({"DELETE", "/api/instances/" + id, {}, {}}, this->node).status;
     }
 
-    Platform::InstanceCalls calls{"10.0.0.9:80"};
+    Platform::InstanceApi api{"10.0.0.9:80"};
     AdminHooks node;
     Instant now{};
     bool isReady = false;
@@ -121,9 +121,9 @@
 Test(instanceCalls, theProbeSaysWhetherTheNodeIsReady)
 {
     InstanceFixture fixture;
-    cr_assert(fixture.calls.answer({"GET", "/api/readyz", {}, {}}, fixture.node).status == 503);
+    cr_assert(fixture.api.handle({"GET", "/api/readyz", {}, {}}, fixture.node).status == 503);
     fixture.isReady = true;
-    cr_assert(fixture.calls.answer({"GET", "/api/readyz", {}, {}}, fixture.node).status == 200);
+    cr_assert(fixture.api.handle({"GET", "/api/readyz", {}, {}}, fixture.node).status == 200);
 }
 
 // What the stand-in of a server writes is what the node reads.
@@ -132,9 +132,9 @@
     InstanceFixture fixture;
     UpstreamAnnouncement announcement{"booking", "10.0.0.9:80", 6, UpstreamCondition::Ready, "i-9", 5000, 3};
     const HttpRequest checkIn = Platform::encodeCheckIn(announcement, UpstreamState::Warming);
-    cr_assert(fixture.calls.answer(checkIn, fixture.node).status == 200);
+    cr_assert(fixture.api.handle(checkIn, fixture.node).status == 200);
     cr_assert(fixture.instance == "i-9" && fixture.presence.state() == UpstreamState::Warming);
     const HttpRequest goodbye = Platform::encodeCheckIn(announcement, UpstreamState::Gone);
-    cr_assert(fixture.calls.answer(goodbye, fixture.node).status == 200);
+    cr_assert(fixture.api.handle(goodbye, fixture.node).status == 200);
     cr_assert(fixture.presence.state() == UpstreamState::Gone);
 }
--- a/Tests/Platform/TestStoreRestore.cpp
+++ b/Tests/Platform/TestStoreRestore.cpp
@@ -155,7 +155,7 @@
     const auto other = std::make_shared<Platform::RowsClient>(fixture.context, fixture.server.address());
     fixture.service.takeCopy();
     cr_assert(fixture.write({"t", {}, "k", "first", false, std::nullopt}).has_value());
-    const Platform::RowsAnswer read = fixture.rows("t").value();
+    const Platform::RowsResponse read = fixture.rows("t").value();
     Platform::RowWrite late{"t", {}, "k", "late", false, read.rows[0].revision, read.era};
     fixture.faults(R"({"delay_ms":400})");
     std::optional<Result<void>> written;
@@ -171,7 +171,7 @@
     cr_assert(!written->has_value() && written->error().kind == ErrorKind::Timeout, "it is not known");
 
     // Known before it is sent: nothing is done.
-    const Platform::RowsAnswer now = fixture.rows("t").value();
+    const Platform::RowsResponse now = fixture.rows("t").value();
     late.value = "later";
     late.expectedRevision = now.rows[0].revision;
     const Result<void> again = fixture.write(late);
