--- a/Libraries/LibPlatform/PlatformClient.cpp
+++ b/Libraries/LibPlatform/PlatformClient.cpp
@@ -1,4 +1,4 @@
-// Sending of requests to the platform: see PlatformClient.h.
+// Implements the platform client; see PlatformClient.h.
 #include <LibPlatform/PlatformClient.h>
 #include <LibPlatform/TableProtocol.h>
 
@@ -18,8 +18,8 @@
     constexpr auto step = "use object store";
     if (response.status == statusNotFound)
         return makeError(ErrorKind::NotFound, step, name, "no such object");
-    // Objects are named by content or publish id and written whole, so doubt about one is settled by
-    // writing it again.
+    // Objects are named by content or publish id and written as a whole, so a write of unknown effect can be
+    // repeated.
     return makeError(ErrorKind::Timeout, step, name, "answered status " + std::to_string(response.status));
 }
 
@@ -77,17 +77,17 @@
         this->sendQueued();
     }
 
-    // A request that is sent with hardly any time left gets no answer in time, and all that comes of it is a
-    // write whose effect is not known. A tenth of the timeout is kept for the platform's own work.
+    // A request that is sent too late gets no response in time and leaves a write of unknown effect. This
+    // leaves the platform a tenth of the timeout to process a request.
     Duration minimumTimeToSend() const { return this->settings.requestTimeout / 10; }
 
-    // Never calls back from inside the port's call, so that a caller is not entered while it changes.
+    // Posts the callback, so that the caller is not re-entered from within its call of the port.
     void reject(QueuedRequest rejected)
     {
         ++this->counters.notSent;
         boost::asio::post(this->context, [rejected = std::move(rejected)] {
             rejected.done(makeError(ErrorKind::Unavailable, "send request", rejected.address,
-                                    "too many requests wait, or it waited too long"));
+                                    "the request queue is full or the request timed out in it"));
         });
     }
 
@@ -127,7 +127,7 @@
     boost::asio::io_context &context;
     const PlatformClientSettings settings;
     HttpClient client;
-    std::deque<QueuedRequest> queue; // At most maximumWaiting.
+    std::deque<QueuedRequest> queue; // At most maximumQueued.
     std::uint32_t inFlight = 0;      // At most maximumInFlight.
     bool stopped = false;
 };
--- a/Libraries/LibPlatform/PlatformClient.h
+++ b/Libraries/LibPlatform/PlatformClient.h
@@ -1,8 +1,8 @@
-// The platform's table service and object store over HTTP, as the ports that LibSource names. For one
-// io_context that one thread runs; every callback comes from it.
+// HTTP client for the platform's table service and object store; implements the ports of LibSource. Uses one
+// io_context that is run by a single thread, which also invokes every callback.
 //
-// Bounded on both sides: so many requests are under way, so many wait. One that waited past its time was
-// never sent, so nothing took effect and it ends as Unavailable.
+// The numbers of requests in flight and of queued requests are limited. A request that times out in the queue
+// was never sent, so it had no effect and fails as Unavailable.
 #pragma once
 
 #include <LibNet/HttpClient.h>
@@ -21,20 +21,20 @@
     std::string objects; // "ip:port" of the object store.
     std::string tableName = "sagecrank";
     std::string bucket = "sagecrank";
-    Milliseconds requestTimeout{1000}; // From the call of the port to the whole answer.
+    Milliseconds requestTimeout{1000}; // From the call of the port to the complete response.
     std::uint32_t maximumInFlight = 32;
     std::uint32_t maximumQueued = 1024;
 };
 
-// Requests by what the platform meters, for status and for measurements.
+// Requests in the units that the platform meters, for the status page and benchmarks.
 struct PlatformCounters
 {
     std::uint64_t tableReads = 0;
-    std::uint64_t tableWrites = 0; // Items put or removed; a transaction counts each of its items.
+    std::uint64_t tableWrites = 0; // Items put or removed, including each item of a transaction.
     std::uint64_t tableWriteRequests = 0;
     std::uint64_t objectReads = 0;
     std::uint64_t objectWrites = 0;
-    std::uint64_t notSent = 0; // Ended as Unavailable before a byte left.
+    std::uint64_t notSent = 0; // Failed as Unavailable before anything was sent.
 };
 
 class PlatformClient
@@ -45,7 +45,7 @@
     PlatformClient(const PlatformClient &) = delete;
     PlatformClient &operator=(const PlatformClient &) = delete;
 
-    // Ports stay valid after the client has gone; their calls then end as Unavailable.
+    // The ports may outlive the client; their calls then fail as Unavailable.
     TablePort tablePort();
     ObjectPort objectPort();
 
@@ -53,7 +53,7 @@
 
 private:
     class Requests;
-    std::shared_ptr<Requests> requests; // Shared with requests under way.
+    std::shared_ptr<Requests> requests; // Shared with the ports and the requests in flight.
 };
 
 } // namespace Sagecrank
--- a/Libraries/LibPlatform/TableProtocol.cpp
+++ b/Libraries/LibPlatform/TableProtocol.cpp
@@ -1,4 +1,4 @@
-// Requests and answers of the table service: see TableProtocol.h.
+// Implements the table service's protocol; see TableProtocol.h.
 #include <LibPlatform/TableProtocol.h>
 
 #include <boost/json.hpp>
@@ -39,7 +39,7 @@
     return item;
 }
 
-// Attribute names go through placeholders, because the service reserves many ordinary words.
+// Uses placeholders for attribute names, because the service reserves many common words.
 void encodeCondition(json::object &body, const PutCondition &condition)
 {
     std::string expression = condition.absent ? "attribute_not_exists(pk)" : "";
@@ -72,7 +72,7 @@
 
 Error malformed(const std::string &message)
 {
-    return makeError(ErrorKind::InvalidInput, "read table answer", "table", message);
+    return makeError(ErrorKind::InvalidInput, "read table response", "table", message);
 }
 
 Result<json::object> parseObject(const std::string &text)
@@ -84,7 +84,7 @@
     return std::move(value.as_object());
 }
 
-// Attributes of kinds that the system does not write are left out, so a foreign column does no harm.
+// Skips attributes of types that this system does not write, so foreign columns are harmless.
 std::optional<Attribute> decodeAttribute(const json::value &value)
 {
     if (!value.is_object())
@@ -115,7 +115,7 @@
     const std::string *partition = row.text("pk");
     const std::string *sort = row.text("sk");
     if (partition == nullptr || sort == nullptr)
-        return malformed("an item lacks its key");
+        return malformed("an item has no key");
     row.key = {*partition, *sort};
     row.attributes.erase("pk");
     row.attributes.erase("sk");
@@ -140,13 +140,13 @@
         || type == "RequestLimitExceeded" || type == "TransactionConflictException")
         return ErrorKind::Refused;
     if (type == "TransactionInProgressException")
-        return ErrorKind::Timeout; // An earlier copy of it may still take effect.
+        return ErrorKind::Timeout; // An earlier copy of the transaction may still take effect.
     return ErrorKind::InvalidInput;
 }
 
-// A status of 500 and above is given after the service, or something in front of it, took the request: a
-// write may have taken effect. Were it read as "nothing happened", a claim could be thought free while it
-// stands, or a publish be called refused after it won.
+// A write may have taken effect despite a status of 500 or above, because the service or a proxy had already
+// accepted the request. Treating it as having no effect would make a claimed key look free, or report a
+// publish as refused although it was accepted.
 Error errorFromResponse(const HttpResponse &response, Access access)
 {
     constexpr auto step = "use table";
@@ -221,7 +221,7 @@
     const json::object body = TRY(parseObject(response.body));
     const json::value *items = body.if_contains("Items");
     if (items == nullptr || !items->is_array())
-        return malformed("the answer to a query has no items");
+        return malformed("the response to a query has no items");
     std::vector<Row> rows;
     for (const json::value &item : items->as_array())
         rows.push_back(TRY(decodeRow(item)));
--- a/Libraries/LibPlatform/TableProtocol.h
+++ b/Libraries/LibPlatform/TableProtocol.h
@@ -1,5 +1,5 @@
-// The table service's JSON protocol as text: the bodies of requests and the meaning of answers. No sockets.
-// The point that matters is what an error says about effect; the mapping stands in answerError.
+// Encodes requests to the table service as JSON and decodes its responses, without I/O. Errors tell whether a
+// write may have taken effect; see errorFromResponse() for the mapping.
 #pragma once
 
 #include <LibNet/HttpMessages.h>
@@ -21,7 +21,7 @@
 Result<std::optional<Row>> parseGetResponse(const HttpResponse &response);
 Result<std::vector<Row>> parseQueryResponse(const HttpResponse &response);
 Result<void> parseWriteResponse(const HttpResponse &response);
-// `count` is the number of puts that were sent.
+// `count` is the number of puts in the transaction.
 Result<TransactionResult> parseTransactionResponse(const HttpResponse &response, std::size_t count);
 
 } // namespace Sagecrank::TableProtocol
--- a/Tests/LibPlatform/TestPlatformClient.cpp
+++ b/Tests/LibPlatform/TestPlatformClient.cpp
@@ -1,4 +1,4 @@
-// The client against a small HTTP server in the same process: what a broken or slow connection means.
+// Tests the client against an HTTP server in the same process, with broken and slow connections.
 #include <LibPlatform/PlatformClient.h>
 
 #include <LibNet/HttpServer.h>
@@ -17,14 +17,14 @@
 
 using Exchange = std::shared_ptr<HttpExchange>;
 
-// A platform whose answers the test gives.
+// A platform whose responses the test supplies.
 class FakeServer
 {
 public:
     explicit FakeServer(HttpHandler handler)
         : server(this->context, {}, std::move(handler))
     {
-        // Each test is a process of its own, and several run at once.
+        // Tests run concurrently in separate processes.
         const int first = getpid() % 20000;
         for (int i = 0; i < 100; ++i) {
             this->address = "127.0.0.1:" + std::to_string(10000 + ((first + i * 7) % 20000));
@@ -92,7 +92,7 @@
     cr_assert(client.counters().objectWrites == 1 && client.counters().objectReads == 1);
 }
 
-// Nothing listens there, so no byte left: the write certainly did not take effect.
+// Nothing listens at the address, so nothing was sent and the write certainly did not take effect.
 Test(platformClient, refusedConnectionIsUnavailable)
 {
     boost::asio::io_context context(1);
@@ -107,7 +107,8 @@
     cr_assert(client.counters().notSent == 1);
 }
 
-// The platform took the request and never answers, or closes: the write may have taken effect.
+// The platform accepts the request and never responds, or closes the connection: the write may have taken
+// effect.
 Test(platformClient, unresponsivePlatformLeavesEffectUnknown)
 {
     std::vector<Exchange> heldExchanges;
@@ -123,8 +124,8 @@
     heldExchanges.clear(); // A connection belongs to the server's context and may not outlive it.
 }
 
-// A slow platform under many requests: what waited past its time was never sent, and what does not fit in the
-// queue is refused at once. Both certainly had no effect.
+// A slow platform under many requests: requests that time out in the queue were never sent, and those that do
+// not fit in the queue are rejected immediately. Both certainly had no effect.
 Test(platformClient, queueTimeoutWasNeverSent)
 {
     std::size_t arrived = 0;
--- a/Tests/LibPlatform/TestTableProtocol.cpp
+++ b/Tests/LibPlatform/TestTableProtocol.cpp
@@ -1,5 +1,5 @@
-// What an answer of the table service means. The kind of an error decides whether a claim may be thought free
-// and whether an operator may be told "refused", so each is pinned here.
+// Tests how responses of the table service are decoded. The kind of an error decides whether a claim counts
+// as free and whether an operator is told "refused", so every mapping is tested.
 #include <LibPlatform/TableProtocol.h>
 
 #include <Support/TableTest.h>
@@ -13,7 +13,7 @@
     const char *name;
     std::uint32_t status;
     std::string body;
-    std::optional<ErrorKind> write; // None when the write took effect.
+    std::optional<ErrorKind> write; // Not set if the write took effect.
     std::optional<ErrorKind> read;
 };
 
@@ -44,7 +44,7 @@
 {
     const char *name;
     std::string reasons;
-    std::optional<TransactionResult> outcomes; // None when the whole is refused.
+    std::optional<TransactionResult> outcomes; // Not set if the whole transaction is rejected.
 };
 
 using Outcome = PutOutcome;
@@ -97,7 +97,7 @@
         cr_assert(result.error().kind == ErrorKind::Refused, "%s", row.name);
 }
 
-// The condition is the whole safety of claims and of the head, so its text is compared word for word.
+// Claims and the head depend on the condition, so its text is compared verbatim.
 Test(tableProtocol, encodesCompleteConditions)
 {
     const std::string body = TableProtocol::encodePut("t", samplePut());
