--- a/Tests/Platform/PlatformGate.h
+++ b/Tests/Platform/PlatformGate.h
@@ -1,5 +1,4 @@
-// A gate that speaks the users' platform's protocol, and one way to ask it; for tests that put a server
-// behind it.
+// Test fixture: a gate that uses the platform's protocol, for tests that put a server behind it.
 #pragma once
 
 #include <LibDecide/TargetGate.h>
@@ -27,13 +26,13 @@
         cr_assert(condition());
     }
 
-    CallResponse ask(CallRequest request)
+    CallResponse call(CallRequest request)
     {
-        std::optional<CallResponse> answer;
+        std::optional<CallResponse> result;
         this->gate.submit({this->context, this->client}, std::move(request),
-                          [&answer](CallResponse response) { answer = std::move(response); });
-        this->runUntil([&answer] { return answer.has_value(); });
-        return *answer;
+                          [&result](CallResponse response) { result = std::move(response); });
+        this->runUntil([&result] { return result.has_value(); });
+        return *result;
     }
 
     boost::asio::io_context context{1};
--- a/Tests/Platform/StoreFixture.h
+++ b/Tests/Platform/StoreFixture.h
@@ -1,4 +1,4 @@
-// A client of the store and the stand-in of the store on loopback.
+// Test fixture: a client of the row store and the store's emulator on loopback.
 #pragma once
 
 #include <RowsEmulator/RowsService.h>
@@ -33,16 +33,16 @@
     }
 
     template <typename Value>
-    Value await(const std::function<void(std::function<void(Value)>)> &ask)
+    Value await(const std::function<void(std::function<void(Value)>)> &start)
     {
-        std::optional<Value> answer;
-        ask([&answer](Value value) { answer.emplace(std::move(value)); });
+        std::optional<Value> result;
+        start([&result](Value value) { result.emplace(std::move(value)); });
         this->context.restart();
         const Instant limit = SteadyClock::now() + std::chrono::seconds(20);
-        while (!answer && SteadyClock::now() < limit)
+        while (!result && SteadyClock::now() < limit)
             this->context.run_one_for(Milliseconds(50));
-        cr_assert(answer.has_value());
-        return std::move(*answer);
+        cr_assert(result.has_value());
+        return std::move(*result);
     }
 
     Result<void> write(const Platform::RowWrite &row)
@@ -50,19 +50,19 @@
         return this->await<Result<void>>([&](auto done) { this->client->write(row, done); });
     }
 
-    Result<Head> newest(const VersionSource &source, const HeadQuery &query)
+    Result<Head> readHead(const VersionSource &source, const HeadQuery &query)
     {
         return this->await<Result<Head>>([&](auto done) { source.readHead(query, done); });
     }
 
-    // Runs what is due until the condition holds; false when it does not within the time.
-    bool runUntil(const std::function<bool()> &holds, Duration longest)
+    // Runs pending work until the condition holds; false if it does not hold in time.
+    bool runUntil(const std::function<bool()> &condition, Duration maximumWait)
     {
         this->context.restart();
-        const Instant limit = SteadyClock::now() + longest;
-        while (!holds() && SteadyClock::now() < limit)
+        const Instant limit = SteadyClock::now() + maximumWait;
+        while (!condition() && SteadyClock::now() < limit)
             this->context.run_one_for(Milliseconds(10));
-        return holds();
+        return condition();
     }
 
     Result<Platform::RowsResponse> rows(const std::string &table)
@@ -72,13 +72,13 @@
         });
     }
 
-    void faults(const std::string &json) { this->faults(json, this->server.address()); }
+    void setFaults(const std::string &json) { this->setFaults(json, this->server.address()); }
 
-    void faults(const std::string &json, const std::string &door)
+    void setFaults(const std::string &json, const std::string &address)
     {
         const auto status = this->await<std::uint32_t>([&](auto done) {
-            this->plain.send(
-                door, {"POST", "/emulator/faults", {}, json}, std::chrono::seconds(5),
+            this->httpClient.send(
+                address, {"POST", "/emulator/faults", {}, json}, std::chrono::seconds(5),
                 [done](const HttpFailure *, const HttpResponse &response) { done(response.status); });
         });
         cr_assert(status == 200);
@@ -87,7 +87,7 @@
     boost::asio::io_context context{1};
     RowsService service;
     HttpServer server;
-    HttpClient plain{this->context, HttpClientSettings{}};
+    HttpClient httpClient{this->context, HttpClientSettings{}};
     std::shared_ptr<Platform::RowsClient> client;
 };
 
--- a/Tests/Platform/TestConfigurationDocument.cpp
+++ b/Tests/Platform/TestConfigurationDocument.cpp
@@ -1,4 +1,4 @@
-// The operator's configuration as the platform stores it, and what the project's model makes of it.
+// Tests decoding of the operator's configuration document.
 #include <LibConfig/Check.h>
 #include <LibConfig/Snapshot.h>
 #include <Support/TableTest.h>
@@ -27,13 +27,13 @@
     return text.replace(at, from.size(), to);
 }
 
-struct BadRow
+struct InvalidRow
 {
     const char *what;
     std::string document;
 };
 
-const BadRow badRows[] = {
+const InvalidRow invalidRows[] = {
     {"cut short", goodDocument.substr(0, 300)},
     {"no version", replaced("\"version\":7,", "")},
     {"version of another type", replaced("\"version\":7", "\"version\":\"7\"")},
@@ -46,14 +46,14 @@
 {
     const char *kind;
     bool idempotent;
-    std::size_t doubts;
+    std::size_t warnings;
 };
 
 const KindRow kindRows[] = {
     {"safe", true, 0}, {"unsafe", false, 0}, {"upload", false, 0}, {"once", false, 1}, {"SAFE", false, 1},
 };
 
-const BadRow brokenRules[] = {
+const InvalidRow invalidRules[] = {
     {"no unit", replaced("\"800ms\"", "\"800\"")},
     {"unknown service", replaced("\"service\":\"booking\",\"timeout\"", "\"service\":\"other\",\"timeout\"")},
     {"no service", replaced("\"service\":\"booking\",\"timeout\"", "\"timeout\"")},
@@ -100,22 +100,22 @@
     cr_assert(snapshot.match("ficu95.example", "GET", "/lo") == nullptr);
 }
 
-// An operator's document is damaged or of another shape. Taken in part, hosts would vanish with all of their
-// routes; so it is refused whole and the version before it stays in force.
-TABLE_TEST(configurationDocument, aDamagedOneIsRefusedWhole, badRows)
+// The document is damaged or has another structure. Applying a part of it would remove hosts with all their
+// routes, so it is rejected entirely and the previous version stays in force.
+TABLE_TEST(configurationDocument, invalidDocumentIsRejectedEntirely, invalidRows)
 {
     const auto decoded = Platform::decodeConfiguration(row.document, "site");
     cr_assert(!decoded.has_value(), "%s", row.what);
     cr_assert(decoded.error().kind == ErrorKind::InvalidInput);
 }
 
-// A route is of a kind that this reader does not know. If the version were refused for it, no caller of the
-// whole mesh would be served; if its requests could be sent again, one might run twice. The other routes
-// serve, and its requests run at most once.
-TABLE_TEST(configurationDocument, onlyOneKindMayRunAgain, kindRows)
+// A rule has an unknown kind. Rejecting the document would leave the whole mesh without routes, and retrying
+// the rule's requests could run one of them twice. The other rules are served, and its requests run at most
+// once.
+TABLE_TEST(configurationDocument, onlySafeKindIsIdempotent, kindRows)
 {
     const auto configuration = decoded(replaced("\"unsafe\"", "\"" + std::string(row.kind) + "\""));
-    cr_assert(configuration->doubts.size() == row.doubts, "%s", row.kind);
+    cr_assert(configuration->doubts.size() == row.warnings, "%s", row.kind);
     const Snapshot snapshot(configuration);
     const Route &pay = *snapshot.match("ficu95.example", "POST", "/pay/7")->route;
     cr_assert(pay.idempotent == row.idempotent, "%s", row.kind);
@@ -124,9 +124,9 @@
     cr_assert(snapshot.match("ficu95.example", "GET", "/look/a") != nullptr);
 }
 
-// One rule of many cannot be read. The callers of all other routes are served; its own are refused as not
-// run, and never matched by a shorter prefix, at whose service they would run by mistake.
-TABLE_TEST(configurationDocument, aBrokenRuleCostsItselfAlone, brokenRules)
+// One rule is invalid. All other rules are served. Its own requests are rejected as not run; a shorter prefix
+// must not match them, because they would run at the wrong service.
+TABLE_TEST(configurationDocument, invalidRuleAffectsOnlyItself, invalidRules)
 {
     std::string document = row.document;
     const std::string rules = "\"ruleSet\":[";
@@ -144,8 +144,8 @@
               row.what);
 }
 
-// A rule that is no object names no requests that could be kept from others; it is left out and reported.
-Test(configurationDocument, aRuleWithoutShapeIsLeftOut)
+// A rule that is not a JSON object has no match that could be kept; it is skipped and reported.
+Test(configurationDocument, malformedRuleIsSkipped)
 {
     const auto configuration = decoded(replaced("\"ruleSet\":[", "\"ruleSet\":[3,"));
     cr_assert(configuration->doubts.size() == 1);
--- a/Tests/Platform/TestEmulatorRestore.cpp
+++ b/Tests/Platform/TestEmulatorRestore.cpp
@@ -1,5 +1,5 @@
-// The drill of the stand-in of the store: it comes back from an older copy, as the users' pages say of
-// theirs.
+// Tests how the store's emulator simulates a restore from an older copy, as the platform's documentation
+// describes it.
 #include "StoreFixture.h"
 
 #include <platform/RowsProtocol.h>
@@ -8,26 +8,27 @@
 
 namespace {
 
-struct Told
+struct StoreResponse
 {
-    std::uint32_t status = 0; // Zero: no answer.
+    std::uint32_t status = 0; // Zero: no response.
     std::string era;
     std::string body;
 };
 
-class DrillFixture : public StoreFixture
+class RestoreFixture : public StoreFixture
 {
 public:
-    Told send(const std::string &method, const std::string &target, const std::string &body = {})
+    StoreResponse send(const std::string &method, const std::string &target, const std::string &body = {})
     {
-        return this->await<Told>([&](auto done) {
-            this->plain.send(this->server.address(), {method, target, {}, body}, std::chrono::seconds(5),
-                             [done](const HttpFailure *failure, const HttpResponse &response) {
-                                 if (failure != nullptr)
-                                     return done(Told{});
-                                 done(Told{response.status, std::string(Platform::findEraHeader(response)),
-                                           response.body});
-                             });
+        return this->await<StoreResponse>([&](auto done) {
+            this->httpClient.send(this->server.address(), {method, target, {}, body}, std::chrono::seconds(5),
+                                  [done](const HttpFailure *failure, const HttpResponse &response) {
+                                      if (failure != nullptr)
+                                          return done(StoreResponse{});
+                                      done(StoreResponse{response.status,
+                                                         std::string(Platform::findEraHeader(response)),
+                                                         response.body});
+                                  });
         });
     }
 
@@ -48,7 +49,7 @@
     }
 };
 
-struct AnswerRow
+struct ResponseRow
 {
     const char *method;
     const char *target;
@@ -56,7 +57,7 @@
     std::uint32_t status;
 };
 
-const AnswerRow answerRows[] = {
+const ResponseRow responseRows[] = {
     {"GET", "/api/rows-get?table=t&part=", "", 200},
     {"GET", "/api/rows-feed?table=t&after=0&waitMs=0", "", 200},
     {"GET", "/api/rows-feed?table=t&after=99&waitMs=1000", "", 410},
@@ -70,22 +71,22 @@
 
 } // namespace
 
-// Every answer says which life of the store gives it, refusals too.
-TABLE_TEST(storeDrill, everyAnswerStatesTheEra, answerRows)
+// Every response states the store's era, including errors.
+TABLE_TEST(emulatorRestore, everyResponseStatesTheEra, responseRows)
 {
-    DrillFixture fixture;
+    RestoreFixture fixture;
     fixture.service.takeCopy();
     cr_assert(fixture.service.returnFromCopy({}));
-    const Told told = fixture.send(row.method, row.target, row.body);
-    cr_assert(told.status == row.status && told.era == "2", "%s: %u, era %s", row.target, told.status,
-              told.era.c_str());
+    const StoreResponse response = fixture.send(row.method, row.target, row.body);
+    cr_assert(response.status == row.status && response.era == "2", "%s: %u, era %s", row.target,
+              response.status, response.era.c_str());
 }
 
-// What the system wrote since the copy is gone and its revisions are given out again; what the operator and
-// the servers wrote is written again; the era rises by one each time.
-Test(storeDrill, losesWhatTheSystemWrote)
+// After a restore, what the system has written since the copy is lost and its revisions are reused. What the
+// operator and the servers wrote is written again. The era increases by one each time.
+Test(emulatorRestore, losesWritesOfTheSystem)
 {
-    DrillFixture fixture;
+    RestoreFixture fixture;
     fixture.put("sagecrank", "kept", "a");
     fixture.put("op", "config", "1");
     fixture.service.takeCopy();
@@ -101,10 +102,11 @@
     cr_assert(fixture.send("GET", "/api/rows-get?table=t&part=").era == "3");
 }
 
-// It is away first, and the operator takes a while; what the operator wrote meanwhile is not written over.
-Test(storeDrill, isAwayAndIsWrittenAgainLater)
+// The store is unavailable at first, and the operator's rows are rewritten later. Rows that the operator
+// writes in the meantime are not overwritten.
+Test(emulatorRestore, isUnavailableThenRewritten)
 {
-    DrillFixture fixture;
+    RestoreFixture fixture;
     fixture.put("op", "config", "1");
     fixture.put("op", "other", "1");
     fixture.service.takeCopy();
@@ -120,10 +122,10 @@
     cr_assert(fixture.valueOf("op", "config") == "3" && fixture.valueOf("op", "other") == "2");
 }
 
-// What cannot be obeyed is told, and changes nothing.
-Test(storeDrill, aCommandThatMakesNoSenseIsRefused)
+// An invalid command is rejected and has no effect.
+Test(emulatorRestore, invalidCommandIsRejected)
 {
-    DrillFixture fixture;
+    RestoreFixture fixture;
     cr_assert(fixture.send("POST", "/emulator/return", "{}").status == 409);
     cr_assert(fixture.send("POST", "/emulator/copy").status == 200);
     cr_assert(fixture.send("POST", "/emulator/return", R"({"away_ms":-1})").status == 400);
--- a/Tests/Platform/TestFaultyServer.cpp
+++ b/Tests/Platform/TestFaultyServer.cpp
@@ -1,4 +1,4 @@
-// A server whose answers are broken off, spoilt, doubled or early, in the platform's protocol, behind a gate.
+// Tests a gate with a server whose responses are truncated, corrupt, duplicated or early.
 #include "PlatformGate.h"
 
 #include <LibNet/HttpServer.h>
@@ -12,7 +12,7 @@
 
 struct FaultRow
 {
-    const char *fault; // Of every call but the last.
+    const char *fault; // Applies to every call except the last.
     Outcome outcome;
     std::uint32_t status;
 };
@@ -50,15 +50,15 @@
 
     void fault(const std::string &json)
     {
-        std::optional<HttpResponse> answer;
+        std::optional<HttpResponse> result;
         this->client.send(
             this->server->address(), {"POST", "/emulator/faults", {}, json}, std::chrono::seconds(9),
-            [&answer](const HttpFailure *, const HttpResponse &response) { answer = response; });
-        this->runUntil([&answer] { return answer.has_value(); });
-        cr_assert(answer->status == 200, "%s", answer->body.c_str());
+            [&result](const HttpFailure *, const HttpResponse &response) { result = response; });
+        this->runUntil([&result] { return result.has_value(); });
+        cr_assert(result->status == 200, "%s", result->body.c_str());
     }
 
-    // With a body that does not fit the connection's buffers, so that it is still coming when it is refused.
+    // Sends a body larger than the connection's buffers, so that it is incomplete when the call is rejected.
     CallResponse call(const std::string &id)
     {
         CallRequest request;
@@ -68,7 +68,7 @@
         request.method = "POST";
         request.target = "/pay";
         request.body.assign(900'000, 'b');
-        return this->ask(std::move(request));
+        return this->PlatformGate::call(std::move(request));
     }
 
 private:
@@ -79,10 +79,10 @@
 
 } // namespace
 
-// A server misbehaves for some calls and is then mended. Whatever its bytes were, a caller gets its own whole
-// answer, a refusal that is true, or "unknown"; and no leftover of an earlier call is taken for the answer to
-// a later one.
-TABLE_TEST(faultyServer, callersGetTheirOwnAnswerOrNone, faultRows)
+// A server misbehaves for some calls and then recovers. Whatever it sends, a caller gets its own complete
+// response, a correct rejection, or "unknown", and bytes left over from an earlier call are never taken for
+// the response to a later one.
+TABLE_TEST(faultyServer, callersGetOnlyTheirOwnResponse, faultRows)
 {
     FaultyServer server;
     server.fault(row.fault);
--- a/Tests/Platform/TestGateProof.cpp
+++ b/Tests/Platform/TestGateProof.cpp
@@ -1,4 +1,4 @@
-// What a gate makes of its upstream's answers, in the platform's headers.
+// Tests how a gate interprets an upstream's responses in the platform's headers.
 #include "PlatformGate.h"
 
 #include <LibNet/HttpServer.h>
@@ -14,7 +14,7 @@
     std::uint32_t status;
     std::vector<Header> headers;
     Outcome outcome;
-    std::uint32_t answered; // What the caller's node is given.
+    std::uint32_t callerStatus; // Returned to the caller's node.
 };
 
 const Header stamp{"Server-Stamp", "s"};
@@ -41,7 +41,7 @@
     explicit ProofFixture(const ProofRow &row)
         : upstream(this->context, HttpServerSettings{},
                    [this, row](const HttpRequest &request, const std::shared_ptr<HttpExchange> &exchange) {
-                       this->seen = request;
+                       this->lastRequest = request;
                        HttpResponse response = makeResponse(row.status, "text/plain", "body");
                        response.headers.insert(response.headers.end(), row.headers.begin(),
                                                row.headers.end());
@@ -60,34 +60,34 @@
         request.callerCallId = "a1";
         request.method = "POST";
         request.target = "/pay/?x=1";
-        return this->ask(std::move(request));
+        return this->call(std::move(request));
     }
 
-    HttpRequest seen;
+    HttpRequest lastRequest;
     HttpServer upstream;
 };
 
 } // namespace
 
-// An upstream is faulty, is another one than was meant, or refuses. A caller that is told "not run" sends a
-// booking again, so only a proof may become that word; and bytes that are no proven answer must not reach it
-// as one.
-TABLE_TEST(gateProof, onlyAProofBecomesNotRun, proofRows)
+// An upstream is faulty, is another instance than the intended one, or rejects the call. A caller that is
+// told "not run" sends the call again, so this requires a proof, and a response without a proof must not
+// reach the caller.
+TABLE_TEST(gateProof, onlyProofYieldsNotRun, proofRows)
 {
     ProofFixture fixture(row);
     const CallResponse response = fixture.run();
-    cr_assert(response.outcome == row.outcome && response.status == row.answered, "%s: %u", row.what,
+    cr_assert(response.outcome == row.outcome && response.status == row.callerStatus, "%s: %u", row.what,
               response.status);
     cr_assert(response.reachedUpstream);
-    cr_assert(findHeader(fixture.seen.headers, "Expect-Instance") == "i-1");
-    cr_assert(findHeader(fixture.seen.headers, "Attempt-Id") == "a1");
-    cr_assert(!findHeader(fixture.seen.headers, "Deadline-Ms").empty());
-    cr_assert(fixture.seen.target == "/pay/?x=1");
+    cr_assert(findHeader(fixture.lastRequest.headers, "Expect-Instance") == "i-1");
+    cr_assert(findHeader(fixture.lastRequest.headers, "Attempt-Id") == "a1");
+    cr_assert(!findHeader(fixture.lastRequest.headers, "Deadline-Ms").empty());
+    cr_assert(fixture.lastRequest.target == "/pay/?x=1");
 }
 
-// The address has gone to another start of the upstream. Until that one announces itself, nothing more is
-// sent there: each call would cost its caller a round trip for nothing.
-Test(gateProof, nothingMoreGoesToAnotherStart)
+// Another instance of the upstream listens at the address. Until it announces itself, no more calls are sent
+// there, since each would cost its caller a useless round trip.
+Test(gateProof, nothingIsSentToAnotherInstance)
 {
     ProofFixture fixture(proofRows[4]);
     cr_assert(fixture.run().reachedUpstream);
--- a/Tests/Platform/TestHostileInput.cpp
+++ b/Tests/Platform/TestHostileInput.cpp
@@ -1,5 +1,5 @@
-// What the adapter makes of damaged and hostile input: configurations, check-ins, and answers of the store.
-// Nothing of it may end the process or be believed by half; a read of the store always ends.
+// Fuzz tests of the adapter with mutated configurations, check-ins and responses of the store. No input may
+// crash the process or be applied in part, and every read of the store must complete.
 #include <LibConfig/Check.h>
 #include <LibConfig/ConfigurationHolder.h>
 #include <LibNet/FramedConnection.h>
@@ -20,7 +20,7 @@
 
 const std::uint64_t seeds[] = {1, 2, 3, 4, 5, 6, 7, 8};
 
-const std::string goodDocument =
+const std::string validDocument =
     R"({"version":7,"limits":{"maxHeaderBytes":16384,"maxBodyBytes":67108864,)"
     R"("headerTimeout":"3000ms","idleTimeout":"15s"},"listeners":[{"host":"a.example",)"
     R"("ruleSet":[{"name":"r-1","kind":"safe","targetLatency":"250ms","priority":1,)"
@@ -28,22 +28,22 @@
     R"({"service":"e","weight":1}],"timeout":"1.2s","maxAttempts":2}}]}],)"
     R"("clusters":[{"name":"b","healthPath":"/h"},{"name":"e","healthPath":"/h"}]})";
 
-const std::string goodCheckIn =
+const std::string validCheckIn =
     R"({"service":"b","address":"10.0.0.9:80","zone":"z","version":"v1","slots":6,)"
     R"("state":"ready","coldLeft":"10ms","callSeq":4,"born":1785042605037})";
 
-const std::string goodRows = R"({"ver":9,"now":5,"truncated":false,"rows":[{"key":"config","ver":8,)"
-                             R"("value":"eyJ2ZXJzaW9uIjo3fQ=="},{"key":"other","removed":true,"ver":9}]})";
+const std::string validRows = R"({"ver":9,"now":5,"truncated":false,"rows":[{"key":"config","ver":8,)"
+                              R"("value":"eyJ2ZXJzaW9uIjo3fQ=="},{"key":"other","removed":true,"ver":9}]})";
 
 } // namespace
 
-// Whatever passes the adapter must pass the check of the whole site or be refused by it, and never crash the
-// node that takes it in.
+// A document that the adapter decodes must pass or fail the validation of the site, and never crash the node
+// that applies it.
 TABLE_TEST(hostileInput, configurations, seeds)
 {
     Mutations mutations(row);
     for (std::size_t round = 0; round < Mutations::rounds(3000); ++round) {
-        const auto decoded = Platform::decodeConfiguration(mutations.of(goodDocument), "site");
+        const auto decoded = Platform::decodeConfiguration(mutations.of(validDocument), "site");
         if (!decoded || !checkSite(decoded.value()))
             continue;
         ConfigurationHolder holder("site", {});
@@ -54,14 +54,14 @@
     }
 }
 
-// A check-in that is taken names a service, an address that can be connected to, and slots.
+// An accepted check-in has a service, a valid address, and slots.
 TABLE_TEST(hostileInput, checkIns, seeds)
 {
     Mutations mutations(row);
     UpstreamPresence presence({[](const std::string &) {}, [](const UpstreamAnnouncement &) {},
                                [](const std::string &, UpstreamState, std::uint32_t) {}});
     for (std::size_t round = 0; round < Mutations::rounds(3000); ++round) {
-        const auto decoded = Platform::decodeCheckIn(mutations.of(goodCheckIn), "i-1");
+        const auto decoded = Platform::decodeCheckIn(mutations.of(validCheckIn), "i-1");
         if (!decoded)
             continue;
         const UpstreamAnnouncement &announcement = decoded.value().announcement;
@@ -71,29 +71,29 @@
     }
 }
 
-TABLE_TEST(hostileInput, callsToTheStore, seeds)
+TABLE_TEST(hostileInput, storeRequests, seeds)
 {
     Mutations mutations(row);
-    const HttpRequest good{"POST",
-                           "/api/rows-tx?table=t&part=p&after=3&waitMs=20",
-                           {},
-                           R"({"precondition":[{"table":"t","part":"p","key":"k","ver":0}],)"
-                           R"("setKeys":[{"table":"t","part":"p","key":"k","value":"YQ=="}],"remove":[]})"};
+    const HttpRequest valid{"POST",
+                            "/api/rows-tx?table=t&part=p&after=3&waitMs=20",
+                            {},
+                            R"({"precondition":[{"table":"t","part":"p","key":"k","ver":0}],)"
+                            R"("setKeys":[{"table":"t","part":"p","key":"k","value":"YQ=="}],"remove":[]})"};
     for (std::size_t round = 0; round < Mutations::rounds(3000); ++round) {
-        HttpRequest request = good;
-        request.body = mutations.of(good.body);
-        request.target = mutations.of(good.target);
+        HttpRequest request = valid;
+        request.body = mutations.of(valid.body);
+        request.target = mutations.of(valid.target);
         (void)Platform::decodeRowsRequest(request);
     }
 }
 
-// A store whose answers are spoilt in each way: each read ends with rows or with an error, never not at all.
-TABLE_TEST(hostileInput, answersOfTheStore, seeds)
+// The store sends corrupt responses. Every read must complete with rows or an error.
+TABLE_TEST(hostileInput, storeResponses, seeds)
 {
     Mutations mutations(row);
     boost::asio::io_context context(1);
     HttpServer server(context, {}, [&](const HttpRequest &, const std::shared_ptr<HttpExchange> &exchange) {
-        exchange->respond(makeResponse(200, "application/json", mutations.of(goodRows)));
+        exchange->respond(makeResponse(200, "application/json", mutations.of(validRows)));
     });
     cr_assert(server.listen("127.0.0.1:0").has_value());
     Platform::RowsClient client(context, server.address());
--- a/Tests/Platform/TestInstanceApi.cpp
+++ b/Tests/Platform/TestInstanceApi.cpp
@@ -1,4 +1,4 @@
-// Check-ins and goodbyes of the server beside a node, from the wire to what the node believes.
+// Tests check-ins and deregistration of the server on a node's host, from the request to the node's state.
 #include <Node/Upstream/UpstreamPresence.h>
 #include <Support/TableTest.h>
 #include <platform/EmulatedServer.h>
@@ -19,7 +19,7 @@
         this->node.left = [this](const std::string &instance) {
             return this->presence.left(this->now, instance);
         };
-        this->node.announcementRefused = [this](const Error &) { ++this->refusals; };
+        this->node.announcementRefused = [this](const Error &) { ++this->rejections; };
         this->node.ready = [this] { return this->isReady; };
     }
 
@@ -37,7 +37,7 @@
                     + R"(,"born":)" + std::to_string(born) + "}");
     }
 
-    std::uint32_t leave(const std::string &id)
+    std::uint32_t deregister(const std::string &id)
     {
         return this->api.handle({"DELETE", "/api/instances/" + id, {}, {}}, this->node).status;
     }
@@ -46,7 +46,7 @@
     AdminHooks node;
     Instant now{};
     bool isReady = false;
-    int refusals = 0;
+    int rejections = 0;
     std::string instance;
     UpstreamPresence presence{
         {[](const std::string &) {},
@@ -54,13 +54,13 @@
          [](const std::string &, UpstreamState, std::uint32_t) {}}};
 };
 
-struct BadRow
+struct InvalidRow
 {
     const char *what;
     const char *body;
 };
 
-const BadRow badRows[] = {
+const InvalidRow invalidRows[] = {
     {"no bytes", ""},
     {"not JSON", "\xff\xfe"},
     {"no service", R"({"address":"10.0.0.9:80","slots":6,"state":"ready","callSeq":9,"born":9})"},
@@ -76,27 +76,27 @@
 
 } // namespace
 
-// Some other writer sends a check-in that cannot be read or is not of the server beside this node. Believed,
-// it would take a healthy server out; so it is refused, counted, and the server that is known stays.
-TABLE_TEST(instanceCalls, aForeignCheckInChangesNothing, badRows)
+// A check-in is malformed or comes from another server than the one on this host. Accepting it would take a
+// healthy server out of service, so it is rejected and counted, and the known server stays.
+TABLE_TEST(instanceApi, invalidCheckInIsRejected, invalidRows)
 {
     InstanceFixture fixture;
     cr_assert(fixture.checkIn("i-1", "ready", 1, 100) == 200);
     cr_assert(fixture.put("i-2", row.body) == 400, "%s", row.what);
-    cr_assert(fixture.refusals == 1);
+    cr_assert(fixture.rejections == 1);
     cr_assert(fixture.instance == "i-1" && fixture.presence.state() == UpstreamState::Ready);
 }
 
-// A server crashes; another start of it announces itself at the same address. A check-in and a goodbye of the
-// first one, held up on their way, arrive afterwards. The later start stays, whatever their numbers say, and
-// also when it has the same id.
-Test(instanceCalls, aLateWordOfAnEarlierStartChangesNothing)
+// A server crashes, and a new instance checks in at the same address. A delayed check-in and deregistration
+// of the first instance arrive afterwards. The new instance stays, whatever their sequence numbers, even if
+// it has the same id.
+Test(instanceApi, lateCheckInOfEarlierInstanceIsIgnored)
 {
     InstanceFixture fixture;
     fixture.checkIn("i-1", "ready", 7, 100);
     cr_assert(fixture.checkIn("i-2", "ready", 1, 200) == 200);
     cr_assert(fixture.checkIn("i-1", "draining", 8, 100) == 200);
-    cr_assert(fixture.leave("i-1") == 200);
+    cr_assert(fixture.deregister("i-1") == 200);
     cr_assert(fixture.instance == "i-2" && fixture.presence.state() == UpstreamState::Ready);
 
     cr_assert(fixture.checkIn("i-2", "ready", 1, 300) == 200);
@@ -104,13 +104,13 @@
     cr_assert(fixture.presence.state() == UpstreamState::Ready);
 }
 
-// A server says goodbye; one of its earlier check-ins arrives after it. Taken for new, it would bring back a
-// server that ends in a moment, and calls would be lost there.
-Test(instanceCalls, goodbyeIsFinalForItsStart)
+// An earlier check-in arrives after the server has deregistered. Accepting it would send calls to a server
+// that is about to exit.
+Test(instanceApi, deregistrationIsFinalForInstance)
 {
     InstanceFixture fixture;
     fixture.checkIn("i-1", "ready", 1, 100);
-    cr_assert(fixture.leave("i-1") == 200);
+    cr_assert(fixture.deregister("i-1") == 200);
     cr_assert(fixture.presence.state() == UpstreamState::Gone);
     fixture.checkIn("i-1", "ready", 2, 100);
     cr_assert(fixture.presence.state() == UpstreamState::Gone);
@@ -118,7 +118,7 @@
     cr_assert(fixture.presence.state() == UpstreamState::Ready);
 }
 
-Test(instanceCalls, theProbeSaysWhetherTheNodeIsReady)
+Test(instanceApi, readinessProbeReportsNodeState)
 {
     InstanceFixture fixture;
     cr_assert(fixture.api.handle({"GET", "/api/readyz", {}, {}}, fixture.node).status == 503);
@@ -126,15 +126,15 @@
     cr_assert(fixture.api.handle({"GET", "/api/readyz", {}, {}}, fixture.node).status == 200);
 }
 
-// What the stand-in of a server writes is what the node reads.
-Test(instanceCalls, readsWhatTheStandInWrites)
+// The node decodes the check-ins that the emulated server encodes.
+Test(instanceApi, decodesEmulatedCheckIns)
 {
     InstanceFixture fixture;
     UpstreamAnnouncement announcement{"booking", "10.0.0.9:80", 6, UpstreamCondition::Ready, "i-9", 5000, 3};
     const HttpRequest checkIn = Platform::encodeCheckIn(announcement, UpstreamState::Warming);
     cr_assert(fixture.api.handle(checkIn, fixture.node).status == 200);
     cr_assert(fixture.instance == "i-9" && fixture.presence.state() == UpstreamState::Warming);
-    const HttpRequest goodbye = Platform::encodeCheckIn(announcement, UpstreamState::Gone);
-    cr_assert(fixture.api.handle(goodbye, fixture.node).status == 200);
+    const HttpRequest deregistration = Platform::encodeCheckIn(announcement, UpstreamState::Gone);
+    cr_assert(fixture.api.handle(deregistration, fixture.node).status == 200);
     cr_assert(fixture.presence.state() == UpstreamState::Gone);
 }
--- a/Tests/Platform/TestRowsStore.cpp
+++ b/Tests/Platform/TestRowsStore.cpp
@@ -1,4 +1,4 @@
-// The client of the store and the source of versions on it, against the stand-in of the store on loopback.
+// Tests the client of the row store and the configuration feed against the store's emulator on loopback.
 #include "StoreFixture.h"
 
 #include <platform/RowsTable.h>
@@ -25,9 +25,9 @@
 
 } // namespace
 
-// Two nodes write the same row. A condition on its revision lets one of them through; the other hears of it
-// and has changed nothing.
-Test(rowsStore, conditionsHold)
+// Two nodes write the same row on condition of its revision. One succeeds; the other gets a conflict and has
+// no effect.
+Test(rowsStore, conditionalWritesAreEnforced)
 {
     StoreFixture fixture;
     Platform::RowWrite row{"t", "p", "k", "first", false, 0};
@@ -41,17 +41,18 @@
     cr_assert(rows.has_value() && rows.value().rows.size() == 1 && rows.value().rows[0].value == "first");
 }
 
-// What a failed write says of its effect. "Nothing was done" must be true, and a lost answer must not say so.
-TABLE_TEST(rowsStore, aFailedWriteSaysWhatIsKnown, faultRows)
+// The error of a failed write tells its effect. "No effect" must be true, and a lost response must not be
+// reported as such.
+TABLE_TEST(rowsStore, failedWriteReportsEffect, faultRows)
 {
     StoreFixture fixture;
-    fixture.faults(row.faults);
+    fixture.setFaults(row.faults);
     const Result<void> written = fixture.write({"t", "p", "k", "v", false, std::nullopt});
     cr_assert(!written.has_value() && written.error().kind == row.kind, "%s", row.faults);
 }
 
-// Introducers' rows go through the project's own table.
-Test(rowsStore, carriesRowsOfTheProjectsTable)
+// The rows of introducers are stored in the project's own table.
+Test(rowsStore, tableRowsRoundTrip)
 {
     StoreFixture fixture;
     const TablePort table = Platform::makeRowsTable(fixture.client, "sagecrank");
@@ -66,15 +67,15 @@
     cr_assert(one.has_value() && one.value() == row);
 }
 
-// An operator changes the configuration; a node that watches hears of it. Then the store forgets its history,
-// and the change after that must not be missed: the row itself is read again.
-Test(rowsStore, aWatchFollowsChangesAndALostHistory)
+// A node that watches the configuration is notified of a change. Then the store drops its history. The next
+// change must not be missed, so the row itself is read again.
+Test(rowsStore, watchFollowsChangesAndExpiredHistory)
 {
     StoreFixture fixture;
     const VersionSource source = Platform::makeConfigurationFeed(fixture.client, "site");
-    cr_assert(fixture.newest(source, {}).value().version == 0);
+    cr_assert(fixture.readHead(source, {}).value().version == 0);
     fixture.service.putConfiguration(document(3));
-    cr_assert(fixture.newest(source, {}).value().version == 3);
+    cr_assert(fixture.readHead(source, {}).value().version == 3);
 
     auto pending = fixture.await<Result<Head>>([&](auto done) {
         source.readHead({3, std::chrono::seconds(2), false}, done);
@@ -84,57 +85,58 @@
 
     fixture.service.putConfiguration(document(8));
     fixture.service.dropHistory();
-    cr_assert(fixture.newest(source, {5, std::chrono::seconds(2), false}).value().version == 8);
+    cr_assert(fixture.readHead(source, {5, std::chrono::seconds(2), false}).value().version == 8);
 }
 
-// Somebody writes what cannot be read in place of the configuration. Whoever watches is told so once, and
-// does not carry the same bytes over its link twice a second until the row is mended; the version that mends
-// it is taken at once.
-Test(rowsStore, aRowThatCannotBeReadIsReadOnce)
+// The configuration is overwritten by an unreadable value. A watch reports this once and does not transfer
+// the same bytes twice per second until the row is repaired. The version that repairs it is applied
+// immediately.
+Test(rowsStore, unreadableRowIsReportedOnce)
 {
     StoreFixture fixture;
     const VersionSource source = Platform::makeConfigurationFeed(fixture.client, "site");
     fixture.service.putConfiguration(document(3));
-    cr_assert(fixture.newest(source, {}).value().version == 3);
+    cr_assert(fixture.readHead(source, {}).value().version == 3);
     fixture.service.putConfiguration("{");
-    const Result<Head> spoilt = fixture.newest(source, {3, std::chrono::seconds(2), false});
-    cr_assert(!spoilt.has_value() && spoilt.error().kind == ErrorKind::InvalidInput);
-    cr_assert(fixture.newest(source, {3, Duration::zero(), true}).value().version == 3);
+    const Result<Head> invalid = fixture.readHead(source, {3, std::chrono::seconds(2), false});
+    cr_assert(!invalid.has_value() && invalid.error().kind == ErrorKind::InvalidInput);
+    cr_assert(fixture.readHead(source, {3, Duration::zero(), true}).value().version == 3);
     fixture.service.putConfiguration(document(5));
-    cr_assert(fixture.newest(source, {3, std::chrono::seconds(2), false}).value().version == 5);
+    cr_assert(fixture.readHead(source, {3, std::chrono::seconds(2), false}).value().version == 5);
 }
 
-// A read of the store is behind and shows an older version than the node has seen. Taken for the newest,
-// routes would move back.
-Test(rowsStore, anOlderVersionNeverReplacesANewerOne)
+// A stale read returns an older version than the node has seen. Applying it would revert routes.
+Test(rowsStore, olderVersionNeverReplacesNewer)
 {
     StoreFixture fixture;
     const VersionSource source = Platform::makeConfigurationFeed(fixture.client, "site");
     fixture.service.putConfiguration(document(8));
-    cr_assert(fixture.newest(source, {}).value().version == 8);
+    cr_assert(fixture.readHead(source, {}).value().version == 8);
     fixture.service.putConfiguration(document(7));
-    cr_assert(fixture.newest(source, {}).value().version == 8);
+    cr_assert(fixture.readHead(source, {}).value().version == 8);
 }
 
-// The store turns away a single host while it serves the others. That host is told so; nobody else notices.
-Test(rowsStore, aSingleHostIsTurnedAway)
+// The store rejects requests of a single host while it serves the others.
+Test(rowsStore, singleHostIsRejected)
 {
     StoreFixture fixture;
-    HttpServer door(fixture.context, HttpServerSettings{},
-                    [&fixture](const HttpRequest &request, const std::shared_ptr<HttpExchange> &exchange) {
-                        fixture.service.handle(request, exchange, 1);
-                    });
-    cr_assert(door.listen("127.0.0.1:0").has_value());
-    const auto turnedAway = std::make_shared<Platform::RowsClient>(fixture.context, door.address());
+    HttpServer secondServer(
+        fixture.context, HttpServerSettings{},
+        [&fixture](const HttpRequest &request, const std::shared_ptr<HttpExchange> &exchange) {
+            fixture.service.handle(request, exchange, 1);
+        });
+    cr_assert(secondServer.listen("127.0.0.1:0").has_value());
+    const auto rejectedClient =
+        std::make_shared<Platform::RowsClient>(fixture.context, secondServer.address());
     const auto writeBy = [&fixture](Platform::RowsClient &client) {
         return fixture.await<Result<void>>([&](auto done) {
             client.write({"t", "p", "k", "v", false, std::nullopt}, done);
         });
     };
-    cr_assert(writeBy(*turnedAway).has_value());
-    fixture.faults(R"({"down":true})", door.address());
-    cr_assert(!writeBy(*turnedAway).has_value());
+    cr_assert(writeBy(*rejectedClient).has_value());
+    fixture.setFaults(R"({"down":true})", secondServer.address());
+    cr_assert(!writeBy(*rejectedClient).has_value());
     cr_assert(writeBy(*fixture.client).has_value());
-    fixture.faults("{}");
-    cr_assert(writeBy(*turnedAway).has_value(), "what is set at the first door holds at each");
+    fixture.setFaults("{}");
+    cr_assert(writeBy(*rejectedClient).has_value(), "faults set at one server apply to all");
 }
--- a/Tests/Platform/TestStoreRestore.cpp
+++ b/Tests/Platform/TestStoreRestore.cpp
@@ -1,4 +1,5 @@
-// The store comes back from an older copy: its revisions are given out again, and what nodes hold stays.
+// Tests the client and the configuration feed when the store is restored from an older copy: revisions are
+// reused, and nodes keep the configuration they have.
 #include "StoreFixture.h"
 
 #include <random>
@@ -7,17 +8,17 @@
 
 namespace {
 
-class ReturnFixture : public StoreFixture
+class RestoreFixture : public StoreFixture
 {
 public:
-    // Version 5 was confirmed and seen; the copy has version 3.
-    ReturnFixture()
+    // Version 5 was acknowledged and read; the copy has version 3.
+    RestoreFixture()
     {
         this->service.putConfiguration(document(3));
         this->service.takeCopy();
         this->writeRows(10);
         this->service.putConfiguration(document(5));
-        this->expectNewest(5, {});
+        this->expectHead(5, {});
     }
 
     void writeRows(int count)
@@ -29,9 +30,9 @@
         }
     }
 
-    void expectNewest(std::uint64_t version, const HeadQuery &query)
+    void expectHead(std::uint64_t version, const HeadQuery &query)
     {
-        const Result<Head> found = this->newest(this->source, query);
+        const Result<Head> found = this->readHead(this->source, query);
         cr_assert(found.has_value() && found.value().version == version, "%s",
                   found ? std::to_string(found.value().version).c_str() : found.error().describe().c_str());
     }
@@ -39,31 +40,31 @@
     const VersionSource source = Platform::makeConfigurationFeed(this->client, "site");
 };
 
-struct LowerRow
+struct LowerRevisionRow
 {
     const char *what;
     bool quiet;
-    int rowsAfterwards; // That the system writes after the configuration.
+    int rowsAfterwards; // Written by the system after the configuration.
 };
 
-const LowerRow lowerRows[] = {
+const LowerRevisionRow lowerRevisionRows[] = {
     {"the store tells that it does not have the revision", false, 0},
     {"the store says nothing", true, 0},
     {"the revision was given out again", false, 30},
 };
 
-constexpr Duration hold = Milliseconds(300);
+constexpr Duration watchTimeout = Milliseconds(300);
 
-const unsigned drillSeeds[] = {1, 2, 3, 4, 5, 6, 7, 8};
+const unsigned seeds[] = {1, 2, 3, 4, 5, 6, 7, 8};
 
-struct BadEraRow
+struct InvalidEraRow
 {
     const char *what;
     const char *stated;
     const char *message;
 };
 
-const BadEraRow badEraRows[] = {
+const InvalidEraRow invalidEraRows[] = {
     {"it falls", "1", "the era has fallen: 1"},
     {"it is missing", "", "no era is stated"},
     {"it is no number", "moon", "the era is no number: moon"},
@@ -76,29 +77,29 @@
 
 } // namespace
 
-// A configuration is written again, and the next one is written, under lower revisions than the node has
-// seen. A watch that waits for the revisions to pass those never hears of them.
-TABLE_TEST(storeReturn, aConfigurationUnderALowerRevisionIsTaken, lowerRows)
+// A configuration is rewritten, and the next one is written, with lower revisions than the node has seen. A
+// watch that waits for higher revisions would miss both.
+TABLE_TEST(storeRestore, configurationWithLowerRevisionIsApplied, lowerRevisionRows)
 {
-    ReturnFixture fixture;
+    RestoreFixture fixture;
     cr_assert(fixture.service.returnFromCopy({.writtenAgainAfter = Milliseconds(100), .quiet = row.quiet}));
-    // It holds version 3 now, which must not come back.
-    fixture.expectNewest(5, {5, Duration::zero(), true});
+    // The store has version 3 now, which must not be applied.
+    fixture.expectHead(5, {5, Duration::zero(), true});
     fixture.runUntil([] { return false; }, Milliseconds(150));
     fixture.service.putConfiguration(document(8));
     fixture.writeRows(row.rowsAfterwards);
-    fixture.expectNewest(8, {5, hold, false});
-    // From here on a watch waits for news again, and does not read the row each time.
+    fixture.expectHead(8, {5, watchTimeout, false});
+    // From now on a watch waits for changes again instead of reading the row each time.
     const Instant begun = SteadyClock::now();
-    fixture.expectNewest(8, {8, hold, false});
-    cr_assert(SteadyClock::now() - begun > hold / 2, "%s", row.what);
+    fixture.expectHead(8, {8, watchTimeout, false});
+    cr_assert(SteadyClock::now() - begun > watchTimeout / 2, "%s", row.what);
 }
 
-// A watch is under way when the store comes back, and its connection falls silent. Another call of the node
-// is answered by the new life of the store; the watch is begun anew then, not when it is given up.
-Test(storeReturn, aWatchUnderWayIsBegunAnew)
+// A watch is pending when the store is restored, and its connection gets no response. When another request of
+// the node reveals the new era, the watch is restarted immediately instead of after its timeout.
+Test(storeRestore, pendingWatchIsRestarted)
 {
-    ReturnFixture fixture;
+    RestoreFixture fixture;
     std::optional<Result<Head>> seen;
     fixture.source.readHead({5, std::chrono::seconds(20), false},
                             [&seen](Result<Head> head) { seen.emplace(head); });
@@ -110,46 +111,46 @@
     cr_assert(seen->has_value() && seen->value().version == 8);
 }
 
-// What is stated as the era cannot be right. The highest one seen stays, it is told once, and configurations
-// are followed as before; and when the store states a higher one again, it is believed.
-TABLE_TEST(storeReturn, aBadEraChangesNothing, badEraRows)
+// The store states an invalid era. The highest one seen is kept, the error is reported once, and
+// configurations are still followed. A higher era stated later is accepted.
+TABLE_TEST(storeRestore, invalidEraIsIgnored, invalidEraRows)
 {
-    ReturnFixture fixture;
-    std::vector<std::string> doubts;
+    RestoreFixture fixture;
+    std::vector<std::string> suspects;
     fixture.client->era()->setSuspectListener(
-        [&doubts](const Error &error) { doubts.push_back(error.message); });
+        [&suspects](const Error &error) { suspects.push_back(error.message); });
     cr_assert(fixture.service.returnFromCopy({}));
-    fixture.expectNewest(5, {5, hold, false});
+    fixture.expectHead(5, {5, watchTimeout, false});
     fixture.service.stateEra(row.stated);
     for (int read = 0; read < 3; ++read)
-        fixture.expectNewest(5, {5, Duration::zero(), false});
+        fixture.expectHead(5, {5, Duration::zero(), false});
     fixture.service.putConfiguration(document(8));
-    fixture.expectNewest(8, {5, hold, false});
+    fixture.expectHead(8, {5, watchTimeout, false});
     cr_assert(fixture.client->era()->highest() == 2);
-    cr_assert(doubts.size() == 1 && doubts[0] == row.message, "%s: %zu, %s", row.what, doubts.size(),
-              doubts.empty() ? "" : doubts[0].c_str());
+    cr_assert(suspects.size() == 1 && suspects[0] == row.message, "%s: %zu, %s", row.what, suspects.size(),
+              suspects.empty() ? "" : suspects[0].c_str());
     fixture.service.stateEra(std::nullopt);
     cr_assert(fixture.service.returnFromCopy({}));
-    fixture.expectNewest(8, {8, Duration::zero(), false});
+    fixture.expectHead(8, {8, Duration::zero(), false});
     cr_assert(fixture.client->era()->highest() == 3);
 }
 
-// A store of before there were eras states none; that is no fault.
-Test(storeReturn, aStoreWithoutErasIsNotDoubted)
+// A store without support for eras states none, which is not an error.
+Test(storeRestore, storeWithoutErasIsNotSuspect)
 {
     StoreFixture fixture;
-    int told = 0;
-    fixture.client->era()->addChangeListener([&told](const EraChange &) { ++told; });
-    fixture.client->era()->setSuspectListener([&told](const Error &) { ++told; });
+    int notifications = 0;
+    fixture.client->era()->addChangeListener([&notifications](const EraChange &) { ++notifications; });
+    fixture.client->era()->setSuspectListener([&notifications](const Error &) { ++notifications; });
     fixture.service.stateEra("");
     cr_assert(fixture.rows("t").has_value());
-    cr_assert(told == 0 && !fixture.client->era()->highest());
+    cr_assert(notifications == 0 && !fixture.client->era()->highest());
 }
 
-// Two nodes write one row, each on the condition that it is as they read it. The store comes back in between,
-// and the revision that the first has read is given out again for what the second wrote. Taken for settled,
-// the first's write would have replaced what its writer never saw.
-Test(storeReturn, aConditionOfAnEarlierEraSettlesNothing)
+// Two nodes write a row, each on condition of the revision it has read. The store is restored in between, and
+// the revision that the first node has read is reused for the row that the second node writes. The first
+// node's write must not be reported as successful, since it replaced a value that the node never saw.
+Test(storeRestore, conditionOfEarlierEraIsNotApplied)
 {
     StoreFixture fixture;
     const auto other = std::make_shared<Platform::RowsClient>(fixture.context, fixture.server.address());
@@ -157,11 +158,11 @@
     cr_assert(fixture.write({"t", {}, "k", "first", false, std::nullopt}).has_value());
     const Platform::RowsResponse read = fixture.rows("t").value();
     Platform::RowWrite late{"t", {}, "k", "late", false, read.rows[0].revision, read.era};
-    fixture.faults(R"({"delay_ms":400})");
+    fixture.setFaults(R"({"delay_ms":400})");
     std::optional<Result<void>> written;
     fixture.client->write(late, [&written](const Result<void> &result) { written.emplace(result); });
     fixture.runUntil([] { return false; }, Milliseconds(50));
-    fixture.faults("{}");
+    fixture.setFaults("{}");
     cr_assert(fixture.service.returnFromCopy({}));
     const auto second = fixture.await<Result<void>>([&](auto done) {
         other->write({"t", {}, "k", "second", false, 0, std::nullopt}, done);
@@ -170,7 +171,7 @@
     cr_assert(fixture.runUntil([&written] { return written.has_value(); }, Milliseconds(2000)));
     cr_assert(!written->has_value() && written->error().kind == ErrorKind::Timeout, "it is not known");
 
-    // Known before it is sent: nothing is done.
+    // The era has changed before the write is sent, so it is not sent.
     const Platform::RowsResponse now = fixture.rows("t").value();
     late.value = "later";
     late.expectedRevision = now.rows[0].revision;
@@ -178,23 +179,25 @@
     cr_assert(!again.has_value() && again.error().kind == ErrorKind::Conflict);
     cr_assert(fixture.rows("t").value().rows[0].value != "later");
 
-    // The row was read anew.
+    // The row has been read again.
     late.expectedEra = now.era;
     cr_assert(fixture.write(late).has_value());
 }
 
-// Drill after drill with draws of everything that may differ: how old the copy is, what was written before
-// and after, whether the store says that it lacks a revision, whether the watches under way end. The newest
-// configuration that was confirmed comes into sight each time, and none before it comes back.
-TABLE_TEST(storeReturn, drillsInARowLoseNothing, drillSeeds)
+// Repeats restores with random parameters: the age of the copy, the writes before and after, whether the
+// store reports unknown revisions, and whether pending watches end. Each time the newest acknowledged
+// configuration must be read, and no older one may reappear.
+TABLE_TEST(storeRestore, repeatedRestoresLoseNothing, seeds)
 {
-    ReturnFixture fixture;
+    RestoreFixture fixture;
     std::mt19937 random(row);
-    const auto draw = [&random](int most) { return std::uniform_int_distribution<int>(0, most)(random); };
+    const auto randomUpTo = [&random](int most) {
+        return std::uniform_int_distribution<int>(0, most)(random);
+    };
     std::uint64_t confirmed = 5;
     std::uint64_t seen = 5;
-    const auto look = [&](Duration wait) {
-        const Result<Head> found = fixture.newest(fixture.source, {seen, wait, draw(1) == 0});
+    const auto readHeadOnce = [&](Duration wait) {
+        const Result<Head> found = fixture.readHead(fixture.source, {seen, wait, randomUpTo(1) == 0});
         if (!found)
             return;
         cr_assert(found.value().version >= seen, "seed %u: back from %llu", row,
@@ -202,42 +205,42 @@
         seen = found.value().version;
     };
     const auto change = [&] {
-        fixture.writeRows(draw(6));
-        if (draw(2) == 0)
+        fixture.writeRows(randomUpTo(6));
+        if (randomUpTo(2) == 0)
             return;
-        confirmed += 1 + static_cast<std::uint64_t>(draw(2));
+        confirmed += 1 + static_cast<std::uint64_t>(randomUpTo(2));
         fixture.service.putConfiguration(document(static_cast<int>(confirmed)));
     };
     for (int drill = 0; drill < 15; ++drill) {
-        if (draw(3) != 0)
+        if (randomUpTo(3) != 0)
             fixture.service.takeCopy();
-        for (int step = draw(2); step >= 0; --step) {
+        for (int step = randomUpTo(2); step >= 0; --step) {
             change();
-            if (draw(1) == 0)
-                look(Milliseconds(20));
+            if (randomUpTo(1) == 0)
+                readHeadOnce(Milliseconds(20));
         }
-        // One that is under way at the return.
-        bool ended = draw(1) == 0;
+        // A watch that is pending during the restore.
+        bool ended = randomUpTo(1) == 0;
         if (!ended)
             fixture.source.readHead({seen, Milliseconds(100), false},
                                     [&ended](const Result<Head> &) { ended = true; });
-        fixture.runUntil([] { return false; }, Milliseconds(draw(10)));
+        fixture.runUntil([] { return false; }, Milliseconds(randomUpTo(10)));
         ReturnSettings settings;
-        settings.away = Milliseconds(draw(20));
-        settings.writtenAgainAfter = Milliseconds(draw(60));
-        settings.quiet = draw(1) == 0;
-        settings.forgetsWatches = draw(1) == 0;
+        settings.away = Milliseconds(randomUpTo(20));
+        settings.writtenAgainAfter = Milliseconds(randomUpTo(60));
+        settings.quiet = randomUpTo(1) == 0;
+        settings.forgetsWatches = randomUpTo(1) == 0;
         cr_assert(fixture.service.returnFromCopy(settings));
         fixture.runUntil([] { return false; }, settings.away + Milliseconds(10));
         cr_assert(fixture.runUntil([&] { return !fixture.service.isAway(); }, std::chrono::seconds(20)));
-        if (draw(1) == 0)
+        if (randomUpTo(1) == 0)
             change();
-        const auto arrived = [&] {
-            look(Milliseconds(50));
+        const auto upToDate = [&] {
+            readHeadOnce(Milliseconds(50));
             return seen == confirmed;
         };
         const Instant limit = SteadyClock::now() + std::chrono::seconds(2);
-        while (!arrived() && SteadyClock::now() < limit) {
+        while (!upToDate() && SteadyClock::now() < limit) {
         }
         cr_assert(seen == confirmed, "seed %u, drill %d: %llu of %llu", row, drill,
                   static_cast<unsigned long long>(seen), static_cast<unsigned long long>(confirmed));
