--- a/Libraries/LibSource/ClaimFinalizer.cpp
+++ b/Libraries/LibSource/ClaimFinalizer.cpp
@@ -99,11 +99,11 @@
     const auto found = this->pending.find(id);
     if (found == this->pending.end())
         return;
-    PendingPut &one = found->second;
-    const Instant next = this->now() + one.backoff;
-    if (next >= one.giveUpAt)
+    PendingPut &pendingPut = found->second;
+    const Instant next = this->now() + pendingPut.backoff;
+    if (next >= pendingPut.giveUpAt)
         return this->finish(id, false);
-    one.backoff = std::min(one.backoff * 2, this->settings.maximumRetry);
+    pendingPut.backoff = std::min(pendingPut.backoff * 2, this->settings.maximumRetry);
     this->retries.insert({next, id});
 }
 
