--- a/Libraries/LibSource/PutBatcher.h
+++ b/Libraries/LibSource/PutBatcher.h
@@ -17,7 +17,7 @@
 {
     // Below this number of requests in flight, each put is sent individually and immediately. A batch saves
     // requests but not rows, and the platform meters rows; batching every claim cost 2 ms at the median and
-    // saved nothing. In a burst of keyed calls the number of requests itself becomes the problem.
+    // saved nothing at current rates. In a burst of keyed calls, the number of requests is the problem.
     std::size_t requestsBeforeBatching = 16;
     // The longest that a put waits for its batch; about one round trip to the table.
     Milliseconds window{2};
