--- a/Libraries/LibNet/FramedConnection.cpp
+++ b/Libraries/LibNet/FramedConnection.cpp
@@ -23,7 +23,7 @@
     boost::system::error_code error;
     const tcp::endpoint remote = this->socket.remote_endpoint(error);
     if (!error)
-        this->peer = addressText(remote);
+        this->peer = formatEndpoint(remote);
     this->socket.set_option(tcp::no_delay(true), error);
 }
 
@@ -42,7 +42,7 @@
         this->writeWaiting();
 }
 
-void FramedConnection::endSending()
+void FramedConnection::shutdownSend()
 {
     this->sendingEnds = true;
     if (this->open && !this->writeInProgress)
@@ -66,8 +66,8 @@
         reason.peer = this->peer;
     const FramedConnectionHooks ending = std::move(this->hooks);
     this->hooks = {};
-    if (ending.closed)
-        ending.closed(reason);
+    if (ending.onClosed)
+        ending.onClosed(reason);
 }
 
 void FramedConnection::readSome()
@@ -81,7 +81,7 @@
                 return self->close(makeError(ErrorKind::Unavailable, "read from peer", "", error.message()));
             const auto frame = [&self](FrameType type, std::span<const char> payload) {
                 if (self->open)
-                    self->hooks.frame(type, payload);
+                    self->hooks.onFrame(type, payload);
             };
             const Result<void> taken = self->reader.take({self->buffer.data(), size}, frame);
             if (!taken)
@@ -114,8 +114,8 @@
                 return self->writeWaiting();
             if (self->sendingEnds)
                 self->shutDownSending();
-            if (self->hooks.sent)
-                self->hooks.sent();
+            if (self->hooks.onDrained)
+                self->hooks.onDrained();
         });
 }
 
@@ -139,7 +139,7 @@
     return tcp::endpoint(ip, static_cast<std::uint16_t>(port));
 }
 
-std::string addressText(const tcp::endpoint &endpoint)
+std::string formatEndpoint(const tcp::endpoint &endpoint)
 {
     return endpoint.address().to_string() + ":" + std::to_string(endpoint.port());
 }
@@ -155,7 +155,7 @@
         acceptor.bind(endpoint);
         acceptor.listen();
     } catch (const boost::system::system_error &error) {
-        return makeError(ErrorKind::Unavailable, "listen", addressText(endpoint), error.code().message());
+        return makeError(ErrorKind::Unavailable, "listen", formatEndpoint(endpoint), error.code().message());
     }
     return success();
 }
--- a/Libraries/LibNet/FramedConnection.h
+++ b/Libraries/LibNet/FramedConnection.h
@@ -17,9 +17,9 @@
 
 struct FramedConnectionHooks
 {
-    std::function<void(FrameType, std::span<const char>)> frame;
-    std::function<void(const Error &)> closed; // Once, also after close().
-    std::function<void()> sent = {};           // All that was queued has left; may be empty.
+    std::function<void(FrameType, std::span<const char>)> onFrame;
+    std::function<void(const Error &)> onClosed; // Once, also after close().
+    std::function<void()> onDrained = {};        // All that was queued has left; may be empty.
 };
 
 class FramedConnection : public std::enable_shared_from_this<FramedConnection>
@@ -38,14 +38,14 @@
 
     // No frame is queued after it. What was queued leaves first, then the other side reads an end; frames are
     // still received until it closes.
-    void endSending();
+    void shutdownSend();
 
     bool isOpen() const { return this->open; }
     std::uint64_t bytesSent() const { return this->sent; }
 
     // Bytes that were queued and not yet taken by the socket. A peer that stops reading lets it grow,
     // so that senders can refuse before memory runs out.
-    std::size_t bytesWaiting() const { return this->waitingBytes; }
+    std::size_t bytesQueued() const { return this->waitingBytes; }
 
     const std::string &peerName() const { return this->peer; }
 
@@ -71,7 +71,7 @@
 // "ip:port" to an endpoint; names are not resolved. Port 0, "any free port", has to be allowed by the caller.
 Result<boost::asio::ip::tcp::endpoint> parseTcpEndpoint(const std::string &address, bool anyPort = false);
 
-std::string addressText(const boost::asio::ip::tcp::endpoint &endpoint);
+std::string formatEndpoint(const boost::asio::ip::tcp::endpoint &endpoint);
 
 // Binds and listens. With `share`, several acceptors of this process take connections on the same address.
 Result<void> openListener(boost::asio::ip::tcp::acceptor &acceptor,
--- a/Libraries/LibNet/HttpClient.cpp
+++ b/Libraries/LibNet/HttpClient.cpp
@@ -96,11 +96,11 @@
 {
 public:
     HttpClientCall(std::shared_ptr<HttpClient::Pool> pool, std::string address, HttpRequest request,
-                   const std::string &echoHeader, HttpClient::AnswerHook done)
+                   const std::string &correlationHeader, HttpClient::ResponseCallback done)
         : pool(std::move(pool))
         , address(std::move(address))
-        , echoHeader(echoHeader)
-        , echoValue(findHeader(request.headers, echoHeader))
+        , correlationHeader(correlationHeader)
+        , echoValue(findHeader(request.headers, correlationHeader))
         , done(std::move(done))
     {
         this->message.version(11);
@@ -115,9 +115,9 @@
         this->message.prepare_payload();
     }
 
-    void start(Duration timeout, ConnectionChoice connection)
+    void start(Duration timeout, ConnectionReuse connection)
     {
-        if (connection == ConnectionChoice::Kept)
+        if (connection == ConnectionReuse::Allowed)
             this->stream = this->pool->take(this->address);
         if (this->stream) {
             this->stream->expires_after(timeout);
@@ -197,7 +197,7 @@
         this->stream->expires_never();
         if (message.keep_alive() && !endsConnection && this->buffer.size() == 0 && !this->writeError)
             this->pool->keep(this->address, std::move(this->stream), this->lifeOf(message));
-        const HttpClient::AnswerHook hook = std::move(this->done);
+        const HttpClient::ResponseCallback hook = std::move(this->done);
         this->done = nullptr;
         hook(nullptr, std::move(response));
     }
@@ -209,7 +209,7 @@
         if (this->echoValue.empty())
             return false;
         const auto &message = this->parser->get();
-        const auto found = message.find(this->echoHeader);
+        const auto found = message.find(this->correlationHeader);
         return found != message.end() && std::string_view(found->value()) != this->echoValue;
     }
 
@@ -242,7 +242,7 @@
     {
         if (!this->done)
             return;
-        const HttpClient::AnswerHook hook = std::move(this->done);
+        const HttpClient::ResponseCallback hook = std::move(this->done);
         this->done = nullptr;
         if (this->stream)
             this->stream->close();
@@ -252,10 +252,10 @@
 
     std::shared_ptr<HttpClient::Pool> pool;
     std::string address;
-    std::string echoHeader;
+    std::string correlationHeader;
     std::string echoValue; // Empty when answers are not checked.
     int staleAnswers = 0;
-    HttpClient::AnswerHook done; // Empty once the answer has been given.
+    HttpClient::ResponseCallback done; // Empty once the answer has been given.
     http::request<http::string_body> message;
     std::string header; // Of the message, while it is written.
     std::unique_ptr<HttpStream> stream;
@@ -279,11 +279,11 @@
 HttpClient::~HttpClient() = default;
 
 HttpClient::Handle HttpClient::send(const std::string &address, HttpRequest request, HttpSendOptions options,
-                                    AnswerHook done)
+                                    ResponseCallback done)
 {
     const auto call = std::make_shared<HttpClientCall>(this->pool, address, std::move(request),
-                                                       options.echoHeader, std::move(done));
-    call->start(options.timeout, options.connection);
+                                                       options.correlationHeader, std::move(done));
+    call->start(options.timeout, options.connectionReuse);
     return Handle(call);
 }
 
--- a/Libraries/LibNet/HttpClient.h
+++ b/Libraries/LibNet/HttpClient.h
@@ -26,9 +26,9 @@
     Milliseconds idleTimeout{30000};
 };
 
-enum class ConnectionChoice : std::uint8_t {
-    Kept,  // One that is idle, if there is one.
-    Fresh, // A new one: those that are kept may have fallen silent without an end.
+enum class ConnectionReuse : std::uint8_t {
+    Allowed,    // One that is idle, if there is one.
+    Disallowed, // A new one: those that are kept may have fallen silent without an end.
 };
 
 struct HttpSendOptions
@@ -36,8 +36,8 @@
     Duration timeout{}; // Spans connecting, sending and the answer.
     // A header of the request that its answer repeats. An answer with another value belongs to an earlier
     // request on the same connection and is passed over. Empty: answers are not checked.
-    std::string echoHeader;
-    ConnectionChoice connection = ConnectionChoice::Kept;
+    std::string correlationHeader;
+    ConnectionReuse connectionReuse = ConnectionReuse::Allowed;
 };
 
 // What a look at the other side showed.
@@ -52,7 +52,7 @@
 class HttpClient
 {
 public:
-    using AnswerHook = std::function<void(const HttpFailure *failure, HttpResponse response)>;
+    using ResponseCallback = std::function<void(const HttpFailure *failure, HttpResponse response)>;
 
     // Ends the call it stands for when cancel() is called; the hook then gets a failure.
     class Handle
@@ -75,10 +75,11 @@
     HttpClient &operator=(const HttpClient &) = delete;
 
     // The hook is called once, from the io_context.
-    Handle send(const std::string &address, HttpRequest request, HttpSendOptions options, AnswerHook done);
-    Handle send(const std::string &address, HttpRequest request, Duration timeout, AnswerHook done)
+    Handle send(const std::string &address, HttpRequest request, HttpSendOptions options,
+                ResponseCallback done);
+    Handle send(const std::string &address, HttpRequest request, Duration timeout, ResponseCallback done)
     {
-        return this->send(address, std::move(request), HttpSendOptions{timeout, {}, ConnectionChoice::Kept},
+        return this->send(address, std::move(request), HttpSendOptions{timeout, {}, ConnectionReuse::Allowed},
                           std::move(done));
     }
 
--- a/Libraries/LibNet/HttpMessages.cpp
+++ b/Libraries/LibNet/HttpMessages.cpp
@@ -4,7 +4,7 @@
 
 namespace Sagecrank {
 
-bool sameHeaderName(std::string_view left, std::string_view right)
+bool headerNamesEqual(std::string_view left, std::string_view right)
 {
     return sameWithoutCase(left, right);
 }
@@ -12,7 +12,7 @@
 std::string_view findHeader(const std::vector<Header> &headers, std::string_view name)
 {
     for (const Header &header : headers) {
-        if (sameHeaderName(header.name, name))
+        if (headerNamesEqual(header.name, name))
             return header.value;
     }
     return {};
--- a/Libraries/LibNet/HttpMessages.h
+++ b/Libraries/LibNet/HttpMessages.h
@@ -13,7 +13,7 @@
 namespace Sagecrank {
 
 // Compares as HTTP compares header names: without regard to case.
-bool sameHeaderName(std::string_view left, std::string_view right);
+bool headerNamesEqual(std::string_view left, std::string_view right);
 
 // The first value with this name, or an empty view.
 std::string_view findHeader(const std::vector<Header> &headers, std::string_view name);
--- a/Libraries/LibNet/HttpServer.cpp
+++ b/Libraries/LibNet/HttpServer.cpp
@@ -42,7 +42,7 @@
 Result<void> HttpServer::listen(const std::string &address)
 {
     const tcp::endpoint endpoint = TRY(parseTcpEndpoint(address, true));
-    TRY_VOID(openListener(this->state->acceptor, endpoint, this->state->settings.sharePort));
+    TRY_VOID(openListener(this->state->acceptor, endpoint, this->state->settings.reusePort));
     acceptNext(this->state);
     return success();
 }
@@ -50,10 +50,10 @@
 std::string HttpServer::address() const
 {
     beast::error_code ignored;
-    return addressText(this->state->acceptor.local_endpoint(ignored));
+    return formatEndpoint(this->state->acceptor.local_endpoint(ignored));
 }
 
-void HttpServer::askToClose()
+void HttpServer::disableKeepAlive()
 {
     this->state->closing = true;
 }
@@ -63,7 +63,7 @@
 // the others after their answer, so that nothing new can come.
 void HttpServer::stopAccepting()
 {
-    this->askToClose();
+    this->disableKeepAlive();
     beast::error_code ignored;
     this->state->acceptor.close(ignored);
     const std::unordered_set<HttpSession *> open = this->state->sessions;
@@ -71,9 +71,9 @@
         session->closeWhenIdle();
 }
 
-std::size_t HttpServer::unanswered() const
+std::size_t HttpServer::pendingResponses() const
 {
-    return this->state->unanswered;
+    return this->state->pendingResponses;
 }
 
 void HttpServer::closeAll()
--- a/Libraries/LibNet/HttpServer.h
+++ b/Libraries/LibNet/HttpServer.h
@@ -25,31 +25,32 @@
 };
 
 // What leaves the server in place of an answer's own bytes.
-struct RawAnswer
+struct RawResponse
 {
     std::string bytes;
-    bool closes = false;    // The connection ends after them, whatever the answer says.
-    std::string beforeNext; // Leaves when the next request on the connection has come, before its answer.
+    bool closesConnection = false; // The connection ends after them, whatever the answer says.
+    std::string
+        prefixForNextResponse; // Leaves when the next request on the connection has come, before its answer.
 };
 
 struct HttpServerSettings
 {
     HttpLimits limits;
     std::uint32_t maximumConnections = 4096;
-    bool sharePort = false; // Lets several threads listen on the same address.
+    bool reusePort = false; // Lets several threads listen on the same address.
     // How long a caller has to take the last answer of its connection when the server closes; on a full path
     // an answer is some round trips behind.
-    Milliseconds lastAnswerTime{500};
+    Milliseconds lingerTimeout{500};
     // Replaces `limits` for each request when it is set: limits that change while the server runs.
     std::function<HttpLimits()> currentLimits;
     // Whether a request may be handed on before those ahead of it on its connection are answered. Not set:
     // none may, and each is read once the one before it is answered. Answers leave in order either way.
-    std::function<bool(const HttpRequest &)> mayRunBehind;
+    std::function<bool(const HttpRequest &)> mayPipeline;
     // For stand-ins of faulty servers; a server of the product has neither. The first is given a whole
     // answer, header and body; the second may answer a request whose body is still coming, which ends its
     // connection.
-    std::function<RawAnswer(std::string answer)> rewriteAnswer;
-    std::function<std::optional<HttpResponse>(const HttpRequest &header)> answerBeforeBody;
+    std::function<RawResponse(std::string answer)> rewriteResponse;
+    std::function<std::optional<HttpResponse>(const HttpRequest &header)> respondBeforeBody;
 };
 
 // One request that waits for its answer. Belongs to its connection's thread.
@@ -65,7 +66,7 @@
     virtual void drop() = 0;
 
     // Called when the caller closes its connection before the answer.
-    virtual void onAbandoned(std::function<void()> hook) = 0;
+    virtual void onCallerDisconnected(std::function<void()> hook) = 0;
 };
 
 using HttpHandler = std::function<void(HttpRequest, std::shared_ptr<HttpExchange>)>;
@@ -83,16 +84,16 @@
     std::string address() const; // Where it listens.
 
     // Each answer from now on asks the caller to close its connection and turn elsewhere.
-    void askToClose();
+    void disableKeepAlive();
 
-    // No new connections. Implies askToClose().
+    // No new connections. Implies disableKeepAlive().
     void stopAccepting();
 
     // Ends idle connections too. Runs on the server's thread.
     void closeAll();
 
     // Requests that were handed on and whose answers have not left. From any thread.
-    std::size_t unanswered() const;
+    std::size_t pendingResponses() const;
 
     struct State; // Only the .cpp file knows what is in it.
 
--- a/Libraries/LibNet/HttpSession.cpp
+++ b/Libraries/LibNet/HttpSession.cpp
@@ -37,9 +37,9 @@
         this->session->respond(this->number, std::move(response));
     }
     void drop() override { this->session->drop(this->number); }
-    void onAbandoned(std::function<void()> hook) override
+    void onCallerDisconnected(std::function<void()> hook) override
     {
-        this->session->onAbandoned(this->number, std::move(hook));
+        this->session->onCallerDisconnected(this->number, std::move(hook));
     }
 
 private:
@@ -59,7 +59,7 @@
 
 HttpSession::~HttpSession()
 {
-    this->server->unanswered -= this->exchanges.size();
+    this->server->pendingResponses -= this->exchanges.size();
     this->server->sessions.erase(this);
 }
 
@@ -99,7 +99,7 @@
         return this->awaitRequest();
     // The answer before may still be on its way.
     if (cancelled && this->stream.socket().is_open()) {
-        ++this->server->unanswered;
+        ++this->server->pendingResponses;
         return this->closeWithoutReading();
     }
     this->giveUp();
@@ -166,7 +166,7 @@
 
 bool HttpSession::answeredBeforeBody()
 {
-    const auto &hook = this->server->settings.answerBeforeBody;
+    const auto &hook = this->server->settings.respondBeforeBody;
     std::optional<HttpResponse> early = hook ? hook(headerOf(this->parser->get())) : std::nullopt;
     if (!early)
         return false;
@@ -176,10 +176,10 @@
 
 void HttpSession::sendOwed()
 {
-    if (this->raw.beforeNext.empty())
+    if (this->raw.prefixForNextResponse.empty())
         return this->take();
-    this->raw.bytes = std::move(this->raw.beforeNext);
-    this->raw.beforeNext.clear();
+    this->raw.bytes = std::move(this->raw.prefixForNextResponse);
+    this->raw.prefixForNextResponse.clear();
     boost::asio::async_write(this->stream, boost::asio::buffer(this->raw.bytes),
                              [self = this->shared_from_this()](const ErrorCode &error, std::size_t) {
                                  if (error)
@@ -210,7 +210,7 @@
     received.request.body = std::move(message.body());
     received.keepAlive = message.keep_alive();
     received.headOnly = message.method() == http::verb::head;
-    if (this->exchanges.empty() || this->mayRunBehind(received.request))
+    if (this->exchanges.empty() || this->mayPipeline(received.request))
         return this->begin(std::move(received));
     this->held = std::move(received);
     this->watch();
@@ -232,15 +232,15 @@
 // Failure: a request that may run only once is begun behind another whose answer closes the connection.
 // Symptom: its caller takes it for unread and sends it again, and it runs twice. So only what may run again
 // is begun before the answers ahead of it have left.
-bool HttpSession::mayRunBehind(const HttpRequest &request) const
+bool HttpSession::mayPipeline(const HttpRequest &request) const
 {
-    const auto &hook = this->server->settings.mayRunBehind;
+    const auto &hook = this->server->settings.mayPipeline;
     return hook && !this->server->closing && hook(request);
 }
 
 bool HttpSession::mayReadBehind() const
 {
-    return this->server->settings.mayRunBehind && !this->server->closing && !this->held
+    return this->server->settings.mayPipeline && !this->server->closing && !this->held
            && this->exchanges.size() < mostExchanges && this->exchanges.back().keepAlive;
 }
 
@@ -307,7 +307,7 @@
 void HttpSession::open(Exchange exchange)
 {
     this->exchanges.push_back(std::move(exchange));
-    ++this->server->unanswered;
+    ++this->server->pendingResponses;
 }
 
 HttpSession::Exchange *HttpSession::find(std::uint64_t number)
@@ -335,7 +335,7 @@
     this->giveUp();
 }
 
-void HttpSession::onAbandoned(std::uint64_t number, std::function<void()> hook)
+void HttpSession::onCallerDisconnected(std::uint64_t number, std::function<void()> hook)
 {
     if (Exchange *exchange = this->find(number))
         exchange->abandoned = std::move(hook);
@@ -367,7 +367,7 @@
         message.body().clear();
     this->stream.expires_after(this->limits().idleTimeout);
     this->responseHeader = headerBytes(message);
-    if (this->server->settings.rewriteAnswer)
+    if (this->server->settings.rewriteResponse)
         return this->writeRaw(keepAlive);
     writeMessage(this->stream, this->responseHeader, message,
                  [self = this->shared_from_this(), keepAlive](const ErrorCode &error, std::size_t) {
@@ -377,11 +377,11 @@
 
 void HttpSession::writeRaw(bool keepAlive)
 {
-    this->raw = this->server->settings.rewriteAnswer(this->responseHeader + this->response->body());
+    this->raw = this->server->settings.rewriteResponse(this->responseHeader + this->response->body());
     boost::asio::async_write(
         this->stream, boost::asio::buffer(this->raw.bytes),
         [self = this->shared_from_this(), keepAlive](const ErrorCode &error, std::size_t) {
-            self->written(error, keepAlive && !self->raw.closes);
+            self->written(error, keepAlive && !self->raw.closesConnection);
         });
 }
 
@@ -396,7 +396,7 @@
     const bool last = !error && !keepAlive && !unreadLeft && this->exchanges.empty();
     if (last && (this->server->closing || this->hasUnread()))
         return this->closeWithoutReading(); // Its answer counts until the caller has taken it.
-    --this->server->unanswered;
+    --this->server->pendingResponses;
     if (!error && unreadLeft)
         return this->closeAfterReading();
     if (error || !keepAlive)
--- a/Libraries/LibNet/HttpSession.h
+++ b/Libraries/LibNet/HttpSession.h
@@ -38,7 +38,7 @@
     boost::asio::ip::tcp::acceptor acceptor;
     std::unordered_set<HttpSession *> sessions; // Open ones; each takes itself out when it ends.
     bool closing = false;
-    std::atomic<std::size_t> unanswered = 0; // The exchanges of all sessions.
+    std::atomic<std::size_t> pendingResponses = 0; // The exchanges of all sessions.
 };
 
 class HttpSession : public std::enable_shared_from_this<HttpSession>
@@ -52,7 +52,7 @@
     void awaitRequest();
     void respond(std::uint64_t number, HttpResponse response);
     void drop(std::uint64_t number);
-    void onAbandoned(std::uint64_t number, std::function<void()> hook);
+    void onCallerDisconnected(std::uint64_t number, std::function<void()> hook);
     void close();
     void closeWhenIdle();
 
@@ -95,7 +95,7 @@
     bool answeredBeforeBody();
     void take();
     void begin(Received received);
-    bool mayRunBehind(const HttpRequest &request) const;
+    bool mayPipeline(const HttpRequest &request) const;
     bool mayReadBehind() const;
     void readOn();
     void watch();
@@ -125,11 +125,11 @@
     std::optional<RequestParser> parser;
     std::optional<Response> response; // Alive while it is written.
     std::string responseHeader;       // The same.
-    RawAnswer raw;                    // Of a stand-in; its `beforeNext` waits for the next request.
-    std::deque<Exchange> exchanges;   // Oldest first. The first one's answer is being written, or is awaited.
-    std::optional<Received> held;     // Has come whole and is begun once all before it are answered.
-    std::uint64_t lastNumber = 0;     // Counts requests, so that a late or second answer is told apart.
-    bool reading = false;             // A request, from its first byte to its last; or the wait for one.
+    RawResponse raw;                // Of a stand-in; its `prefixForNextResponse` waits for the next request.
+    std::deque<Exchange> exchanges; // Oldest first. The first one's answer is being written, or is awaited.
+    std::optional<Received> held;   // Has come whole and is begun once all before it are answered.
+    std::uint64_t lastNumber = 0;   // Counts requests, so that a late or second answer is told apart.
+    bool reading = false;           // A request, from its first byte to its last; or the wait for one.
     bool writing = false;
     bool watching = false;
     bool continueOwed = false;   // The caller waits for a word before it sends its body.
--- a/Libraries/LibNet/HttpSessionClosing.cpp
+++ b/Libraries/LibNet/HttpSessionClosing.cpp
@@ -33,7 +33,7 @@
 {
     std::deque<Exchange> open;
     open.swap(this->exchanges);
-    this->server->unanswered -= open.size();
+    this->server->pendingResponses -= open.size();
     this->held.reset();
     this->close();
     for (const Exchange &exchange : open) {
@@ -70,7 +70,7 @@
     ErrorCode ignored;
     this->stream.socket().cancel(ignored); // A read for a next request.
     this->stream.socket().shutdown(tcp::socket::shutdown_send, ignored);
-    this->lingerTimer.expires_after(this->server->settings.lastAnswerTime);
+    this->lingerTimer.expires_after(this->server->settings.lingerTimeout);
     this->lingerTimer.async_wait([self = this->shared_from_this()](const ErrorCode &) { self->endLinger(); });
     this->awaitCallersClose();
 }
@@ -89,7 +89,7 @@
 
 void HttpSession::endLinger()
 {
-    --this->server->unanswered;
+    --this->server->pendingResponses;
     this->close();
 }
 
--- a/Services/Node/Callers/CallerFrontend.cpp
+++ b/Services/Node/Callers/CallerFrontend.cpp
@@ -26,7 +26,7 @@
 bool isOneOf(std::string_view name, std::initializer_list<std::string_view> names)
 {
     return std::any_of(names.begin(), names.end(), [name](std::string_view other) {
-        return !other.empty() && sameHeaderName(other, name);
+        return !other.empty() && headerNamesEqual(other, name);
     });
 }
 
@@ -114,7 +114,7 @@
 }
 
 // What no route serves is refused without running, so it may be refused at once as well.
-bool CallerFrontend::mayRunBehind(const HttpRequest &request) const
+bool CallerFrontend::mayPipeline(const HttpRequest &request) const
 {
     const std::optional<RouteChoice> route = this->routeOf(request);
     return !route || (route->idempotent && findHeader(request.headers, this->names.idempotencyKey).empty());
@@ -177,7 +177,7 @@
             open->end();
         });
     open->running = forwarded;
-    exchange->onAbandoned([open] {
+    exchange->onCallerDisconnected([open] {
         if (const auto self = open->running.lock())
             self->abandon();
         open->end();
--- a/Services/Node/Callers/CallerFrontend.h
+++ b/Services/Node/Callers/CallerFrontend.h
@@ -52,7 +52,7 @@
                    std::string originService, CallerFrontendHooks hooks);
 
     // Whether the request may be handled before those ahead of it on its connection are answered.
-    bool mayRunBehind(const HttpRequest &request) const;
+    bool mayPipeline(const HttpRequest &request) const;
     void handle(Worker &worker, HttpRequest request, std::shared_ptr<HttpExchange> exchange) const;
 
 private:
--- a/Services/Node/Callers/Worker.cpp
+++ b/Services/Node/Callers/Worker.cpp
@@ -25,9 +25,9 @@
 {
     HttpServerSettings server;
     server.currentLimits = callers.limits;
-    server.mayRunBehind = callers.mayRunBehind;
+    server.mayPipeline = callers.mayPipeline;
     server.maximumConnections = settings.requests.maximumConnections;
-    server.sharePort = true;
+    server.reusePort = true;
     return server;
 }
 
@@ -80,7 +80,7 @@
 void Worker::beginEnding()
 {
     boost::asio::post(this->context, [this] {
-        this->callerServer.askToClose();
+        this->callerServer.disableKeepAlive();
         this->ending = true;
         for (const auto &[address, link] : this->links)
             link->waitThroughSilence();
@@ -131,7 +131,7 @@
 
 bool Worker::allAnswered() const
 {
-    return this->callerServer.unanswered() == 0 && this->peerServer.unsent() == 0;
+    return this->callerServer.pendingResponses() == 0 && this->peerServer.unsent() == 0;
 }
 
 // Kept alive while each of them may end others and itself.
--- a/Services/Node/Callers/Worker.h
+++ b/Services/Node/Callers/Worker.h
@@ -32,7 +32,7 @@
 struct CallerHooks
 {
     std::function<HttpLimits()> limits;
-    std::function<bool(const HttpRequest &)> mayRunBehind; // See HttpServerSettings.
+    std::function<bool(const HttpRequest &)> mayPipeline; // See HttpServerSettings.
     std::function<void(Worker &, HttpRequest, std::shared_ptr<HttpExchange>)> handle;
 };
 
--- a/Services/Node/Control/ControlClient.cpp
+++ b/Services/Node/Control/ControlClient.cpp
@@ -36,7 +36,7 @@
 void begin(const std::shared_ptr<Pull> &pull, boost::asio::ip::tcp::socket socket, const PullRequest &request)
 {
     FramedConnectionHooks hooks;
-    hooks.frame = [pull](FrameType type, std::span<const char> payload) {
+    hooks.onFrame = [pull](FrameType type, std::span<const char> payload) {
         const std::string &peer = pull->connection->peerName();
         Result<PullResponse> response = decode<PullResponse>(payload, "read pull response", peer);
         if (response && type != FrameType::PullResponse)
@@ -48,7 +48,7 @@
             pull->finish(std::move(response).assume_error());
         pull->connection->close(makeError(ErrorKind::Unavailable, "pull", "", "done"));
     };
-    hooks.closed = [pull](const Error &error) { pull->finish(error); };
+    hooks.onClosed = [pull](const Error &error) { pull->finish(error); };
     pull->connection =
         std::make_shared<FramedConnection>(std::move(socket), maximumPullResponseSize, std::move(hooks));
     pull->connection->start();
--- a/Services/Node/Control/ControlServer.cpp
+++ b/Services/Node/Control/ControlServer.cpp
@@ -81,7 +81,7 @@
     auto session = std::make_shared<Session>(this->context);
     ++this->connections;
     FramedConnectionHooks hooks;
-    hooks.frame = [this, session](FrameType type, std::span<const char> payload) {
+    hooks.onFrame = [this, session](FrameType type, std::span<const char> payload) {
         const Result<PullRequest> request =
             decode<PullRequest>(payload, "read pull request", session->connection->peerName());
         if (type != FrameType::PullRequest || !request || session->admitted) {
@@ -92,7 +92,7 @@
         }
         this->answer(*session, request.value());
     };
-    hooks.closed = [this, session](const Error &) {
+    hooks.onClosed = [this, session](const Error &) {
         session->timer.cancel();
         --this->connections;
         if (session->admitted)
--- a/Services/Node/Gate/LocalGate.cpp
+++ b/Services/Node/Gate/LocalGate.cpp
@@ -283,7 +283,7 @@
     this->openStepSpan(*call, SpanName::Upstream);
     HttpSendOptions options;
     options.timeout = remaining;
-    options.echoHeader = this->headerNames.callId;
+    options.correlationHeader = this->headerNames.callId;
     call->sent = true;
     call->sending =
         call->thread.client.send(call->upstreamAddress, this->upstreamRequest(*call, remaining), options,
--- a/Services/Node/HopHeaders.h
+++ b/Services/Node/HopHeaders.h
@@ -15,7 +15,7 @@
         "Connection", "Content-Length", "Transfer-Encoding", "Keep-Alive", "TE", "Trailer",
         "Upgrade",    "Expect",         "Proxy-Connection"};
     return std::any_of(std::begin(hop), std::end(hop),
-                       [name](std::string_view header) { return sameHeaderName(header, name); });
+                       [name](std::string_view header) { return headerNamesEqual(header, name); });
 }
 
 } // namespace Sagecrank
--- a/Services/Node/Node.cpp
+++ b/Services/Node/Node.cpp
@@ -122,9 +122,7 @@
     for (std::uint32_t index = 0; index < this->settings.threads; ++index) {
         CallerHooks hooks;
         hooks.limits = [this] { return this->callerLimits(); };
-        hooks.mayRunBehind = [this](const HttpRequest &request) {
-            return this->callers.mayRunBehind(request);
-        };
+        hooks.mayPipeline = [this](const HttpRequest &request) { return this->callers.mayPipeline(request); };
         hooks.handle = [this](Worker &worker, HttpRequest request, std::shared_ptr<HttpExchange> exchange) {
             this->callers.handle(worker, std::move(request), std::move(exchange));
         };
--- a/Services/Node/Peers/PeerLink.cpp
+++ b/Services/Node/Peers/PeerLink.cpp
@@ -57,7 +57,7 @@
     this->calls[callId].answer = std::move(answer);
 
     const bool congested =
-        this->connection && this->connection->bytesWaiting() > this->settings.maximumWaitingBytes;
+        this->connection && this->connection->bytesQueued() > this->settings.maximumWaitingBytes;
     const bool gone = this->connection && this->otherLeaves;
     const bool unreachable = gone || (!this->connection && !this->connecting && this->usedAt < this->retryAt);
     if (congested || unreachable) {
@@ -134,11 +134,11 @@
 {
     const std::weak_ptr<PeerLink> link = this->weak_from_this();
     FramedConnectionHooks hooks;
-    hooks.frame = [link](FrameType type, std::span<const char> payload) {
+    hooks.onFrame = [link](FrameType type, std::span<const char> payload) {
         if (const auto self = link.lock())
             self->takeFrame(type, payload);
     };
-    hooks.closed = [link](const Error &reason) {
+    hooks.onClosed = [link](const Error &reason) {
         if (const auto self = link.lock())
             self->closed(reason);
     };
--- a/Services/Node/Peers/PeerServer.cpp
+++ b/Services/Node/Peers/PeerServer.cpp
@@ -103,11 +103,11 @@
     void start(tcp::socket socket)
     {
         FramedConnectionHooks hooks;
-        hooks.frame = [self = this->shared_from_this()](FrameType type, std::span<const char> payload) {
+        hooks.onFrame = [self = this->shared_from_this()](FrameType type, std::span<const char> payload) {
             self->takeFrame(type, payload);
         };
-        hooks.closed = [self = this->shared_from_this()](const Error &reason) { self->closed(reason); };
-        hooks.sent = [self = this->shared_from_this()] { self->setUnsent(false); };
+        hooks.onClosed = [self = this->shared_from_this()](const Error &reason) { self->closed(reason); };
+        hooks.onDrained = [self = this->shared_from_this()] { self->setUnsent(false); };
         const auto opened =
             std::make_shared<FramedConnection>(std::move(socket), maximumFrameSize, std::move(hooks));
         this->connection = opened;
@@ -127,7 +127,7 @@
             this->refuseUnsent(*call, refusalReasonNames.name(RefusalReason::Draining));
         this->send(encodeFrame(FrameType::GoAway, GoAway{this->lastCallId}));
         if (const auto open = this->connection.lock())
-            open->endSending();
+            open->shutdownSend();
     }
 
     bool closeIsAwaited() const { return this->awaitsClose; }
@@ -469,7 +469,7 @@
 std::string PeerServer::address() const
 {
     boost::system::error_code ignored;
-    return addressText(this->state->acceptor.local_endpoint(ignored));
+    return formatEndpoint(this->state->acceptor.local_endpoint(ignored));
 }
 
 void PeerServer::goAway()
--- a/Services/UpstreamEmulator/Answer.cpp
+++ b/Services/UpstreamEmulator/Answer.cpp
@@ -82,7 +82,7 @@
     response.headers.push_back({std::string(faultHeader), std::string(callFateShares.name(fate))});
 }
 
-RawAnswer breakMarked(std::string answer)
+RawResponse breakMarked(std::string answer)
 {
     const std::optional<CallFate> fate = callFateShares.value(takeHeader(answer, faultHeader));
     if (!fate)
--- a/Services/UpstreamEmulator/Answer.h
+++ b/Services/UpstreamEmulator/Answer.h
@@ -22,6 +22,6 @@
 
 // An answer that is to be broken says so to its own server, which makes the broken bytes of the whole ones.
 void markFault(HttpResponse &response, CallFate fate);
-RawAnswer breakMarked(std::string answer);
+RawResponse breakMarked(std::string answer);
 
 } // namespace Sagecrank
--- a/Services/UpstreamEmulator/Main.cpp
+++ b/Services/UpstreamEmulator/Main.cpp
@@ -98,9 +98,9 @@
     Result<void> listenOn(asio::io_context &context)
     {
         HttpServerSettings server;
-        server.sharePort = this->settings.threads > 1;
-        server.rewriteAnswer = breakMarked;
-        server.answerBeforeBody = [this](const HttpRequest &header) {
+        server.reusePort = this->settings.threads > 1;
+        server.rewriteResponse = breakMarked;
+        server.respondBeforeBody = [this](const HttpRequest &header) {
             return this->service.refuseEarly(header);
         };
         HttpHandler handler = [this, &context](HttpRequest request, std::shared_ptr<HttpExchange> exchange) {
@@ -108,8 +108,8 @@
         };
         if (!this->settings.instance.empty()) {
             handler = Platform::wrapPlatformHandler(this->settings.instance, std::move(handler));
-            server.answerBeforeBody =
-                Platform::wrapEarlyResponse(this->settings.instance, std::move(server.answerBeforeBody));
+            server.respondBeforeBody =
+                Platform::wrapEarlyResponse(this->settings.instance, std::move(server.respondBeforeBody));
         }
         this->servers.push_back(std::make_unique<HttpServer>(context, server, std::move(handler)));
         return this->servers.back()->listen(this->settings.listen);
--- a/Services/UpstreamEmulator/WorkService.cpp
+++ b/Services/UpstreamEmulator/WorkService.cpp
@@ -94,7 +94,7 @@
     }
     if (verdict == SlotVerdict::Shed)
         return this->shed(this->fate == CallFate::Shed ? "shedding load" : "all slots and the line are full");
-    this->exchange->onAbandoned([self = this->shared_from_this()] { self->abandoned(); });
+    this->exchange->onCallerDisconnected([self = this->shared_from_this()] { self->abandoned(); });
     if (limit)
         this->armDeadline(*limit);
     if (verdict == SlotVerdict::Start)
--- a/Tests/Emulators/FakeExchange.h
+++ b/Tests/Emulators/FakeExchange.h
@@ -24,7 +24,7 @@
         this->dropped = true;
         this->hook = nullptr;
     }
-    void onAbandoned(std::function<void()> hook) override { this->hook = std::move(hook); }
+    void onCallerDisconnected(std::function<void()> hook) override { this->hook = std::move(hook); }
 
     void abandon()
     {
--- a/Tests/LibNet/TestHttpClient.cpp
+++ b/Tests/LibNet/TestHttpClient.cpp
@@ -62,7 +62,7 @@
 };
 
 Answer sendAndWait(boost::asio::io_context &context, HttpClient &client, const std::string &address,
-                   std::string body, ConnectionChoice connection = ConnectionChoice::Kept)
+                   std::string body, ConnectionReuse connection = ConnectionReuse::Allowed)
 {
     Answer answer;
     client.send(address, {"POST", "/", {}, std::move(body)}, {std::chrono::seconds(10), {}, connection},
@@ -198,13 +198,13 @@
 
 struct ChoiceRow
 {
-    ConnectionChoice choice;
+    ConnectionReuse choice;
     int connections;
 };
 
 const ChoiceRow choiceRows[] = {
-    {ConnectionChoice::Kept, 1},
-    {ConnectionChoice::Fresh, 2},
+    {ConnectionReuse::Allowed, 1},
+    {ConnectionReuse::Disallowed, 2},
 };
 
 // A server falls silent on the connections that it has and answers on new ones. What is sent to find out
--- a/Tests/LibNet/TestHttpServer.cpp
+++ b/Tests/LibNet/TestHttpServer.cpp
@@ -76,7 +76,7 @@
     {
         if (request.target != "/hold")
             return exchange->respond(makeResponse(200, "text/plain", request.method + " " + request.body));
-        exchange->onAbandoned([this] { ++this->abandoned; });
+        exchange->onCallerDisconnected([this] { ++this->abandoned; });
         this->kept = std::move(exchange);
         ++this->held;
     }
@@ -322,11 +322,11 @@
 class KeepingServer
 {
 public:
-    explicit KeepingServer(Milliseconds lastAnswerTime = HttpServerSettings().lastAnswerTime)
-        : server(this->context, settings(lastAnswerTime),
+    explicit KeepingServer(Milliseconds lingerTimeout = HttpServerSettings().lingerTimeout)
+        : server(this->context, settings(lingerTimeout),
                  [this](HttpRequest request, std::shared_ptr<HttpExchange> exchange) {
                      const std::lock_guard guard(this->mutex);
-                     exchange->onAbandoned([this] { ++this->abandoned; });
+                     exchange->onCallerDisconnected([this] { ++this->abandoned; });
                      this->begun.push_back(std::move(request.target));
                      this->exchanges.push_back(std::move(exchange));
                  })
@@ -369,16 +369,16 @@
         done.get_future().wait();
     }
 
-    std::size_t unanswered() const { return this->server.unanswered(); }
+    std::size_t pendingResponses() const { return this->server.pendingResponses(); }
 
     std::atomic<int> abandoned = 0;
 
 private:
-    static HttpServerSettings settings(Milliseconds lastAnswerTime)
+    static HttpServerSettings settings(Milliseconds lingerTimeout)
     {
         HttpServerSettings settings;
-        settings.lastAnswerTime = lastAnswerTime;
-        settings.mayRunBehind = [](const HttpRequest &request) {
+        settings.lingerTimeout = lingerTimeout;
+        settings.mayPipeline = [](const HttpRequest &request) {
             return !request.target.starts_with("/once");
         };
         return settings;
@@ -494,9 +494,9 @@
     server.stopAccepting();
     server.answer(0, "last");
     cr_assert(caller.readToEnd().ends_with("last"));
-    cr_assert(server.unanswered() == 1);
+    cr_assert(server.pendingResponses() == 1);
     caller.close();
-    cr_assert(eventually([&] { return server.unanswered() == 0; }));
+    cr_assert(eventually([&] { return server.pendingResponses() == 0; }));
 }
 
 // A caller sends three lookups, loses patience and closes. All three are told; before, the bytes of the next
@@ -522,9 +522,9 @@
     server.answer(0, std::string(std::size_t{32} << 20, 'x') + "end");
     caller.readUntil("200 OK");
     std::this_thread::sleep_for(std::chrono::milliseconds(50));
-    cr_assert(server.unanswered() == 1);
+    cr_assert(server.pendingResponses() == 1);
     caller.readUntil("end");
-    cr_assert(eventually([&] { return server.unanswered() == 0; }));
+    cr_assert(eventually([&] { return server.pendingResponses() == 0; }));
 }
 
 // The same count when the callers give up.
@@ -534,9 +534,9 @@
     {
         RawCaller caller(server.address());
         caller.send(get("/a") + get("/b"));
-        cr_assert(eventually([&] { return server.unanswered() == 2; }));
+        cr_assert(eventually([&] { return server.pendingResponses() == 2; }));
     }
-    cr_assert(eventually([&] { return server.unanswered() == 0; }));
+    cr_assert(eventually([&] { return server.pendingResponses() == 0; }));
 }
 
 namespace {
--- a/Tests/Node/FakePeer.h
+++ b/Tests/Node/FakePeer.h
@@ -23,7 +23,7 @@
         this->accept();
     }
 
-    std::string address() const { return addressText(this->acceptor.local_endpoint()); }
+    std::string address() const { return formatEndpoint(this->acceptor.local_endpoint()); }
 
     void answer(std::size_t index, const std::string &body, std::uint32_t status = 200)
     {
--- a/Tests/Node/TestPeerLink.cpp
+++ b/Tests/Node/TestPeerLink.cpp
@@ -334,7 +334,7 @@
     fixture.peer.answer(0, "well");
     FramedConnection &end = *fixture.peer.connections[0];
     end.send(encodeFrame(FrameType::GoAway, GoAway{row.lastCallId}));
-    end.endSending();
+    end.shutdownSend();
     cr_assert(fixture.runUntil([&] { return fixture.answers.size() == 2; }));
     cr_assert(fixture.answers["first"].body == "well", "%s", row.what);
     const CallResponse &second = fixture.answers["second"];
--- a/Tests/Platform/StoreFixture.h
+++ b/Tests/Platform/StoreFixture.h
@@ -68,7 +68,7 @@
     Result<Platform::RowsResponse> rows(const std::string &table)
     {
         return this->await<Result<Platform::RowsResponse>>([&](auto done) {
-            this->client->get({table, {}, {}, {}, 100}, ConnectionChoice::Kept, done);
+            this->client->get({table, {}, {}, {}, 100}, ConnectionReuse::Allowed, done);
         });
     }
 
--- a/Tests/Platform/TestFaultyServer.cpp
+++ b/Tests/Platform/TestFaultyServer.cpp
@@ -35,8 +35,8 @@
     FaultyServer()
     {
         HttpServerSettings settings;
-        settings.rewriteAnswer = breakMarked;
-        settings.answerBeforeBody = Platform::wrapEarlyResponse(
+        settings.rewriteResponse = breakMarked;
+        settings.respondBeforeBody = Platform::wrapEarlyResponse(
             "i-1", [this](const HttpRequest &header) { return this->service.refuseEarly(header); });
         this->server.emplace(this->context, settings,
                              Platform::wrapPlatformHandler(
--- a/Tests/Platform/TestHostileInput.cpp
+++ b/Tests/Platform/TestHostileInput.cpp
@@ -102,7 +102,7 @@
     std::function<void()> readNext = [&] {
         if (ended == reads)
             return context.stop();
-        client.get({"op", {}, "config", {}, 1}, ConnectionChoice::Kept,
+        client.get({"op", {}, "config", {}, 1}, ConnectionReuse::Allowed,
                    [&](const Result<Platform::RowsResponse> &) {
                        ++ended;
                        boost::asio::post(context, readNext);
--- a/Tests/Platform/TestRowsStore.cpp
+++ b/Tests/Platform/TestRowsStore.cpp
@@ -36,7 +36,7 @@
     const Result<void> again = fixture.write(row);
     cr_assert(!again.has_value() && again.error().kind == ErrorKind::Conflict);
     const auto rows = fixture.await<Result<Platform::RowsResponse>>([&](auto done) {
-        fixture.client->get({"t", "p", {}, {}, 10}, ConnectionChoice::Kept, done);
+        fixture.client->get({"t", "p", {}, {}, 10}, ConnectionReuse::Allowed, done);
     });
     cr_assert(rows.has_value() && rows.value().rows.size() == 1 && rows.value().rows[0].value == "first");
 }
