--- a/Libraries/LibNet/FramedConnection.cpp
+++ b/Libraries/LibNet/FramedConnection.cpp
@@ -83,7 +83,7 @@
                 if (self->open)
                     self->hooks.onFrame(type, payload);
             };
-            const Result<void> parsed = self->reader.take({self->buffer.data(), size}, frame);
+            const Result<void> parsed = self->reader.feed({self->buffer.data(), size}, frame);
             if (!parsed)
                 return self->close(parsed.error());
             if (self->open)
--- a/Libraries/LibWire/Frame.cpp
+++ b/Libraries/LibWire/Frame.cpp
@@ -3,7 +3,7 @@
 
 namespace Sagecrank {
 
-Result<void> FrameReader::take(std::span<const char> bytes, const FrameHook &frame)
+Result<void> FrameReader::feed(std::span<const char> bytes, const FrameCallback &frame)
 {
     const bool joined = !this->partial.empty();
     if (joined)
--- a/Libraries/LibWire/Frame.h
+++ b/Libraries/LibWire/Frame.h
@@ -30,22 +30,22 @@
 };
 
 // The largest body that a call or its answer may have; a site's own limit is at most this.
-inline constexpr std::size_t maximumCarriedBody = std::size_t{16} << 20;
+inline constexpr std::size_t maximumBodySize = std::size_t{16} << 20;
 
 // A frame carries a body whole, and has room for its headers. A longer frame is taken for a broken or hostile
 // peer, whose connection is closed before memory is given to it.
-inline constexpr std::size_t maximumFrameSize = maximumCarriedBody + (std::size_t{1} << 20);
+inline constexpr std::size_t maximumFrameSize = maximumBodySize + (std::size_t{1} << 20);
 
 inline constexpr std::size_t frameHeaderSize = 5;
 
 // Room that most frames fit in without growing.
-inline constexpr std::size_t usualFrameSize = 1024;
+inline constexpr std::size_t initialFrameCapacity = 1024;
 
 template <typename Message>
 Bytes encodeFrame(FrameType type, const Message &message)
 {
     Bytes bytes;
-    bytes.reserve(usualFrameSize);
+    bytes.reserve(initialFrameCapacity);
     bytes.resize(frameHeaderSize);
     appendEncoded(bytes, message);
     const auto length = static_cast<std::uint32_t>(bytes.size() - frameHeaderSize);
@@ -58,7 +58,7 @@
 {
 public:
     // The payload is only valid during the call.
-    using FrameHook = std::function<void(FrameType, std::span<const char> payload)>;
+    using FrameCallback = std::function<void(FrameType, std::span<const char> payload)>;
 
     explicit FrameReader(std::size_t maximumSize = maximumFrameSize)
         : maximumSize(maximumSize)
@@ -66,7 +66,7 @@
     }
 
     // Fails when a frame is too long; the connection is then of no more use.
-    Result<void> take(std::span<const char> bytes, const FrameHook &frame);
+    Result<void> feed(std::span<const char> bytes, const FrameCallback &frame);
 
 private:
     std::size_t maximumSize; // Of a payload.
--- a/Libraries/LibWire/PeerMessages.h
+++ b/Libraries/LibWire/PeerMessages.h
@@ -38,15 +38,15 @@
 };
 
 // From this one on, a node that answers a Hello with its own takes CallHead and grants bodies.
-inline constexpr std::uint32_t protocolWithGrants = 2;
+inline constexpr std::uint32_t bodyGrantProtocolVersion = 2;
 
 // A body from this size on waits for its grant; a smaller one is not worth the round trip.
-inline constexpr std::size_t smallestGrantedBody = std::size_t{16} << 10;
+inline constexpr std::size_t minimumGrantedBodySize = std::size_t{16} << 10;
 
 struct HelloMessage
 {
     std::string nodeId;
-    std::uint32_t protocol = protocolWithGrants;
+    std::uint32_t protocol = bodyGrantProtocolVersion;
 
     template <typename Archive>
     void serialize(Archive &archive)
@@ -67,7 +67,7 @@
     std::uint64_t remainingTargetMicroseconds = 0; // Until the answer is worth less; 0 when not stated.
     std::uint64_t kind = 0;     // Names the route: its calls run about as long as each other.
     bool lateAccepted = true;   // An answer after the target is wanted too: there is no better place left.
-    std::string attempt;        // Unique for each time that a call is sent to a gate.
+    std::string attemptId;      // Unique for each time that a call is sent to a gate.
     std::string idempotencyKey; // Empty when the caller gave none.
     std::string callerCallId;   // The caller's own name for the call, passed through.
     std::string traceParent;
@@ -81,7 +81,7 @@
     {
         archive(this->callId, this->cluster, this->callClass, this->idempotent, this->remainingMicroseconds,
                 this->priority, this->remainingTargetMicroseconds, this->kind, this->lateAccepted,
-                this->attempt, this->idempotencyKey, this->callerCallId, this->traceParent, this->method,
+                this->attemptId, this->idempotencyKey, this->callerCallId, this->traceParent, this->method,
                 this->target, this->headers, this->body);
     }
 };
@@ -137,15 +137,17 @@
     std::uint32_t freeSlots = 0;
     std::uint32_t queued = 0;
     bool draining = false;
-    std::uint64_t ranMicroseconds = 0;  // At the upstream; 0 when it did not run.
-    std::uint64_t waitMicroseconds = 0; // Until a slot is free for a call of this kind, if it came now.
+    std::uint64_t executionMicroseconds = 0; // At the upstream; 0 when it did not run.
+    std::uint64_t expectedWaitMicroseconds =
+        0; // Until a slot is free for a call of this kind, if it came now.
 
     template <typename Archive>
     void serialize(Archive &archive)
     {
         archive(this->callId, this->outcome, this->reason, this->retryAfterMilliseconds, this->replayed,
                 this->claimHeld, this->reachedUpstream, this->status, this->headers, this->body,
-                this->freeSlots, this->queued, this->draining, this->ranMicroseconds, this->waitMicroseconds);
+                this->freeSlots, this->queued, this->draining, this->executionMicroseconds,
+                this->expectedWaitMicroseconds);
     }
 };
 
--- a/Services/Node/Callers/ForwardedCall.cpp
+++ b/Services/Node/Callers/ForwardedCall.cpp
@@ -65,8 +65,8 @@
     load.freeSlots = response.freeSlots;
     load.queued = response.queued;
     load.draining = response.draining;
-    load.runTime = Microseconds(response.ranMicroseconds);
-    load.expectedWait = Microseconds(response.waitMicroseconds);
+    load.runTime = Microseconds(response.executionMicroseconds);
+    load.expectedWait = Microseconds(response.expectedWaitMicroseconds);
     load.answerBytes = response.body.size();
     return load;
 }
@@ -180,7 +180,7 @@
 {
     const Target target = this->attempts[index].target;
     CallRequest attempt = this->request;
-    attempt.attempt = this->context.ids.next();
+    attempt.attemptId = this->context.ids.next();
     attempt.lateAccepted = target.lateAccepted;
     const Duration remaining = this->plan.deadline - SteadyClock::now() - gateMargin;
     attempt.remainingMicroseconds = static_cast<std::uint64_t>(
@@ -192,7 +192,7 @@
             std::max<std::int64_t>(1, std::chrono::duration_cast<Microseconds>(left).count()));
     }
     this->context.history.record([&] {
-        return NodePlaced{attempt.callerCallId, attempt.attempt, this->plan.cluster, target.candidate.id,
+        return NodePlaced{attempt.callerCallId, attempt.attemptId, this->plan.cluster, target.candidate.id,
                           this->plan.configurationVersion};
     });
     Span span = this->context.observer.openSpan(SpanName::Forward, attempt.traceParent, SteadyClock::now());
--- a/Services/Node/Callers/Worker.cpp
+++ b/Services/Node/Callers/Worker.cpp
@@ -17,7 +17,7 @@
 {
     HttpClientSettings client;
     client.idleTimeout = settings.requests.upstreamIdle;
-    client.maximumBodyBytes = maximumCarriedBody;
+    client.maximumBodyBytes = maximumBodySize;
     return client;
 }
 
--- a/Services/Node/Gate/LocalGate.cpp
+++ b/Services/Node/Gate/LocalGate.cpp
@@ -131,7 +131,7 @@
 
     this->openStepSpan(*call, SpanName::Claim);
     this->claims.claim(
-        call->claimKey, call->request.attempt, call->deadline, [this, call](const ClaimResponse &answer) {
+        call->claimKey, call->request.attemptId, call->deadline, [this, call](const ClaimResponse &answer) {
             boost::asio::post(call->thread.context, [this, call, answer] { this->afterClaim(call, answer); });
         });
 }
@@ -214,7 +214,7 @@
     if (decision.verdict == GateVerdict::Refuse)
         return this->refuse(call, refusalReasonNames.name(decision.reason), decision.retryAfter);
     this->history.record([&] {
-        return GateAdmitted{call->request.callerCallId, call->request.attempt, call->request.idempotencyKey,
+        return GateAdmitted{call->request.callerCallId, call->request.attemptId, call->request.idempotencyKey,
                             std::string(callClassNames.name(call->request.callClass))};
     });
     if (decision.verdict == GateVerdict::Start)
@@ -277,7 +277,7 @@
         return this->refuse(call, deadlinePassed ? refusalReasonNames.name(reason) : reasonCancelled,
                             unreachableRetryAfter);
     }
-    this->history.record([&] { return GateStarted{call->request.callerCallId, call->request.attempt}; });
+    this->history.record([&] { return GateStarted{call->request.callerCallId, call->request.attemptId}; });
     const Duration remaining = call->deadline - call->startedAt;
     this->observer.gateWaited(call->startedAt - call->arrivedAt);
     this->openStepSpan(*call, SpanName::Upstream);
@@ -308,7 +308,7 @@
 void LocalGate::refuse(const std::shared_ptr<GateCall> &call, std::string_view reason, Duration retryAfter)
 {
     this->history.record([&] {
-        return GateRefused{call->request.callerCallId, call->request.attempt, std::string(reason)};
+        return GateRefused{call->request.callerCallId, call->request.attemptId, std::string(reason)};
     });
     this->logRefusal(*call, reason, retryAfter);
     CallResponse response;
@@ -318,7 +318,7 @@
     response.retryAfterMilliseconds = retryMilliseconds(retryAfter);
     response.claimHeld = call->claimed;
     if (call->claimed)
-        this->claims.release(call->claimKey, call->request.attempt);
+        this->claims.release(call->claimKey, call->request.attemptId);
     this->answer(call, std::move(response));
 }
 
@@ -354,14 +354,14 @@
         response.queued = this->admission.queued();
         response.draining = this->admission.condition() == UpstreamCondition::Draining;
         const Instant now = SteadyClock::now();
-        response.waitMicroseconds =
+        response.expectedWaitMicroseconds =
             nonNegativeMicroseconds(this->admission.expectedWait(now, call->attributesIfArrivedAt(now)));
     }
     if (call->sent && response.outcome == Outcome::Done)
-        response.ranMicroseconds = nonNegativeMicroseconds(SteadyClock::now() - call->startedAt);
+        response.executionMicroseconds = nonNegativeMicroseconds(SteadyClock::now() - call->startedAt);
     if (response.outcome != Outcome::NotRun) {
         this->history.record([&] {
-            return GateFinished{call->request.callerCallId, call->request.attempt,
+            return GateFinished{call->request.callerCallId, call->request.attemptId,
                                 std::string(outcomeNames.name(response.outcome))};
         });
     }
--- a/Services/Node/Gate/LocalGateUpstream.cpp
+++ b/Services/Node/Gate/LocalGateUpstream.cpp
@@ -59,7 +59,7 @@
             request.headers.push_back({name, value});
     };
     add(this->headerNames.deadline, std::to_string(std::max<std::int64_t>(milliseconds, 1)));
-    add(this->headerNames.attempt, call.request.attempt);
+    add(this->headerNames.attempt, call.request.attemptId);
     add(this->headerNames.callId, call.request.callerCallId);
     add(this->headerNames.idempotencyKey, call.request.idempotencyKey);
     add(this->headerNames.expectedInstance, call.upstreamInstance);
@@ -115,7 +115,7 @@
     if (!this->isValidAnswer(response)) {
         this->freeSlot(call, CallOutcome::Failed);
         if (call->claimed)
-            this->claims.leaveUnknown(call->claimKey, call->request.attempt);
+            this->claims.leaveUnknown(call->claimKey, call->request.attemptId);
         return this->answerUnknown(call, reasonSpoilt, statusBadGateway, unreachableRetryAfter);
     }
     // The upstream answered "unavailable" without proof that it did not run the call. If the status was
@@ -132,7 +132,7 @@
         recorded.status = response.status;
         recorded.contentType = findHeader(response.headers, "Content-Type");
         recorded.body = response.body;
-        this->claims.finish(call->claimKey, call->request.attempt, std::move(recorded));
+        this->claims.finish(call->claimKey, call->request.attemptId, std::move(recorded));
     }
     CallResponse answer;
     answer.outcome = Outcome::Done;
@@ -154,7 +154,7 @@
         return this->refuse(call, reasonUnreachable, unreachableRetryAfter);
     }
     if (call->claimed)
-        this->claims.leaveUnknown(call->claimKey, call->request.attempt);
+        this->claims.leaveUnknown(call->claimKey, call->request.attemptId);
     const bool deadlinePassed = SteadyClock::now() >= call->deadline;
     this->answerUnknown(call, deadlinePassed ? reasonDeadline : reasonBroken,
                         deadlinePassed ? statusGatewayTimeout : statusBadGateway, unreachableRetryAfter);
--- a/Services/Node/Node.cpp
+++ b/Services/Node/Node.cpp
@@ -26,7 +26,7 @@
 constexpr std::size_t spansShown = 500;
 
 // What the base file may allow is what a frame between nodes carries.
-static_assert(mostBodyBytes == maximumCarriedBody);
+static_assert(mostBodyBytes == maximumBodySize);
 
 std::function<std::uint64_t()> makeRandom()
 {
@@ -313,7 +313,7 @@
     if (stated.headerBytes != 0)
         limits.headerBytes = std::min(stated.headerBytes, mostHeaderBytes);
     if (stated.bodyBytes != 0)
-        limits.bodyBytes = std::min<std::uint64_t>(stated.bodyBytes, maximumCarriedBody);
+        limits.bodyBytes = std::min<std::uint64_t>(stated.bodyBytes, maximumBodySize);
     if (stated.headerTimeout.count() != 0)
         limits.headerTimeout = stated.headerTimeout;
     if (stated.idleTimeout.count() != 0)
--- a/Services/Node/Peers/PeerLink.cpp
+++ b/Services/Node/Peers/PeerLink.cpp
@@ -67,7 +67,7 @@
         });
         return callId;
     }
-    if (request.body.size() >= smallestGrantedBody) {
+    if (request.body.size() >= minimumGrantedBodySize) {
         Pending &pending = this->calls[callId];
         pending.held = std::move(request);
         pending.heldSince = this->usedAt;
@@ -215,7 +215,7 @@
     const Result<HelloMessage> hello = decode<HelloMessage>(payload, "read hello", this->address);
     if (!hello)
         return this->connection->close(hello.error());
-    this->learnGrants(hello.value().protocol >= protocolWithGrants ? Grants::Yes : Grants::No);
+    this->learnGrants(hello.value().protocol >= bodyGrantProtocolVersion ? Grants::Yes : Grants::No);
 }
 
 // What the other side says first decides; its Hello comes before all else when it grants bodies.
--- a/Services/Node/Peers/PeerServer.cpp
+++ b/Services/Node/Peers/PeerServer.cpp
@@ -164,7 +164,7 @@
         const Result<HelloMessage> hello = decode<HelloMessage>(payload, "read hello", this->peer);
         if (!hello)
             return this->close(hello.error());
-        if (hello.value().protocol >= protocolWithGrants && this->server->bodies.isLimited())
+        if (hello.value().protocol >= bodyGrantProtocolVersion && this->server->bodies.isLimited())
             this->send(encodeFrame(FrameType::Hello, HelloMessage{}));
     }
 
@@ -227,7 +227,7 @@
         const std::uint64_t callId = head.call.callId;
         if (this->isKnown(callId))
             return this->refuseFrame("read call head", "a call number is used twice");
-        if (!head.call.body.empty() || head.bodyBytes == 0 || head.bodyBytes > maximumCarriedBody)
+        if (!head.call.body.empty() || head.bodyBytes == 0 || head.bodyBytes > maximumBodySize)
             return this->refuseFrame("read call head", "the length of its body");
         BodyLine &bodies = this->server->bodies;
         const auto call =
@@ -340,7 +340,7 @@
         // A call of this kind waits for its body's turn before it waits for a slot.
         this->submit(std::move(request), [server = this->server, priority](CallResponse &response) {
             const Duration line = server->bodies.expected(0, priority);
-            response.waitMicroseconds +=
+            response.expectedWaitMicroseconds +=
                 static_cast<std::uint64_t>(std::chrono::duration_cast<Microseconds>(line).count());
         });
     }
--- a/Tests/LibWire/TestFrame.cpp
+++ b/Tests/LibWire/TestFrame.cpp
@@ -17,7 +17,7 @@
     request.cluster = "booking";
     request.callClass = CallClass::NonIdempotent;
     request.remainingMicroseconds = 250000;
-    request.attempt = "a-1";
+    request.attemptId = "a-1";
     request.idempotencyKey = "key";
     request.method = "POST";
     request.target = "/reserve";
@@ -60,7 +60,7 @@
     const std::span<const char> all(stream);
     for (std::size_t at = 0; at < all.size(); at += row.size) {
         const auto piece = all.subspan(at, std::min(row.size, all.size() - at));
-        const Result<void> taken = reader.take(piece, [&](FrameType type, std::span<const char> payload) {
+        const Result<void> taken = reader.feed(piece, [&](FrameType type, std::span<const char> payload) {
             types.push_back(type);
             if (type == FrameType::CallRequest)
                 body = decode<CallRequest>(payload, "test", "").value().body;
@@ -78,7 +78,7 @@
     const unsigned char header[] = {0xff, 0xff, 0xff, 0xff, 2};
     FrameReader reader;
     bool called = false;
-    const Result<void> taken = reader.take({reinterpret_cast<const char *>(header), sizeof(header)},
+    const Result<void> taken = reader.feed({reinterpret_cast<const char *>(header), sizeof(header)},
                                            [&](FrameType, std::span<const char>) { called = true; });
     cr_assert(!taken);
     cr_assert(taken.error().kind == ErrorKind::TooLarge);
@@ -89,7 +89,7 @@
 Test(frame, theLargestBodyFits)
 {
     CallRequest request = exampleRequest();
-    request.body.assign(maximumCarriedBody, 'b');
+    request.body.assign(maximumBodySize, 'b');
     request.headers.push_back({"X", std::string(std::size_t{500} << 10, 'x')});
     const Bytes stream = encodeFrame(FrameType::CallRequest, request);
     constexpr std::size_t piece = 65536;
@@ -97,12 +97,12 @@
     std::size_t arrived = 0;
     for (std::size_t at = 0; at < stream.size(); at += piece) {
         const std::span<const char> part(stream.data() + at, std::min(piece, stream.size() - at));
-        const Result<void> taken = reader.take(part, [&](FrameType, std::span<const char> payload) {
+        const Result<void> taken = reader.feed(part, [&](FrameType, std::span<const char> payload) {
             arrived = decode<CallRequest>(payload, "test", "").value().body.size();
         });
         cr_assert(taken.has_value());
     }
-    cr_assert(arrived == maximumCarriedBody);
+    cr_assert(arrived == maximumBodySize);
 }
 
 TABLE_TEST(message, hostileBytesAreRefused, hostileRows)
--- a/Tests/LibWire/TestHostileInput.cpp
+++ b/Tests/LibWire/TestHostileInput.cpp
@@ -17,7 +17,7 @@
     CallRequest request;
     request.callId = 7;
     request.cluster = "booking";
-    request.attempt = "a-1";
+    request.attemptId = "a-1";
     request.method = "POST";
     request.target = "/reserve";
     request.headers = {{"Content-Type", "text/plain"}, {"Accept", "*/*"}};
@@ -57,7 +57,7 @@
     for (std::size_t round = 0; round < Mutations::rounds(3000); ++round) {
         const std::string bad = mutations.of(good);
         FrameReader reader;
-        (void)reader.take(std::span<const char>(bad), [](FrameType type, std::span<const char> payload) {
+        (void)reader.feed(std::span<const char>(bad), [](FrameType type, std::span<const char> payload) {
             if (type == FrameType::CallRequest)
                 decodeBoth<CallRequest>(payload);
             else if (type == FrameType::CallResponse)
--- a/Tests/Node/GateFixture.h
+++ b/Tests/Node/GateFixture.h
@@ -45,7 +45,7 @@
         request.callClass = callClass;
         request.idempotent = idempotent;
         request.remainingMicroseconds = static_cast<std::uint64_t>(Microseconds(remaining).count());
-        request.attempt = name;
+        request.attemptId = name;
         request.callerCallId = name;
         request.idempotencyKey = key;
         request.method = "POST";
--- a/Tests/Node/TestForwardedCall.cpp
+++ b/Tests/Node/TestForwardedCall.cpp
@@ -285,7 +285,7 @@
     fixture.call(plan);
     cr_assert(fixture.runUntil([&] { return fixture.callsSent() == 2; }));
     cr_assert(fixture.peers[0].calls.size() == 1);
-    cr_assert(fixture.peers[0].calls[0].attempt != fixture.peers[1].calls[0].attempt);
+    cr_assert(fixture.peers[0].calls[0].attemptId != fixture.peers[1].calls[0].attemptId);
     fixture.peers[1].answer(0, "fast");
     cr_assert(fixture.runUntil([&] { return fixture.answer.has_value(); }));
     cr_assert(fixture.answer->body == "fast");
--- a/Tests/Node/TestPeerLink.cpp
+++ b/Tests/Node/TestPeerLink.cpp
@@ -27,7 +27,7 @@
         request.body = std::string(bodyBytes, 'x');
         request.remainingMicroseconds = 30000000;
         request.cluster = "booking";
-        request.attempt = name;
+        request.attemptId = name;
         return this->link->call(
             request, [this, name](CallResponse response) { this->answers[name] = std::move(response); });
     }
@@ -71,7 +71,7 @@
         fixture.call(name);
     cr_assert(fixture.runUntil([&] { return fixture.peer.calls.size() == 3; }));
     for (const std::size_t index : row.order)
-        fixture.peer.answer(index, fixture.peer.calls[index].attempt);
+        fixture.peer.answer(index, fixture.peer.calls[index].attemptId);
     cr_assert(fixture.runUntil([&] { return fixture.answers.size() == 3; }));
     for (const char *name : {"0", "1", "2"})
         cr_assert(fixture.answers[name].body == name);
@@ -210,26 +210,26 @@
 {
     LinkFixture fixture;
     fixture.peer.grantsBodies = true;
-    const std::uint64_t id = fixture.call("large", smallestGrantedBody);
+    const std::uint64_t id = fixture.call("large", minimumGrantedBodySize);
     cr_assert(fixture.runUntil([&] { return fixture.peer.heads.size() == 1; }));
-    cr_assert(fixture.peer.heads[0].bodyBytes == smallestGrantedBody);
+    cr_assert(fixture.peer.heads[0].bodyBytes == minimumGrantedBodySize);
     cr_assert(fixture.peer.heads[0].call.body.empty());
-    fixture.call("small", smallestGrantedBody - 1);
+    fixture.call("small", minimumGrantedBodySize - 1);
     cr_assert(fixture.runUntil([&] { return fixture.peer.calls.size() == 1; }));
     cr_assert(fixture.peer.bodies.empty());
     fixture.peer.grant(id);
     cr_assert(fixture.runUntil([&] { return fixture.peer.bodies.size() == 1; }));
     cr_assert(fixture.peer.bodies[0].callId == id);
-    cr_assert(fixture.peer.bodies[0].body == std::string(smallestGrantedBody, 'x'));
+    cr_assert(fixture.peer.bodies[0].body == std::string(minimumGrantedBodySize, 'x'));
 }
 
 // The other node is of a version that knows no grants: the call goes there whole, as it always did.
 Test(peerLink, aNodeThatGrantsNothingIsSentTheWholeCall)
 {
     LinkFixture fixture;
-    fixture.call("large", smallestGrantedBody);
+    fixture.call("large", minimumGrantedBodySize);
     cr_assert(fixture.runUntil([&] { return fixture.peer.calls.size() == 1; }));
-    cr_assert(fixture.peer.calls[0].body == std::string(smallestGrantedBody, 'x'));
+    cr_assert(fixture.peer.calls[0].body == std::string(minimumGrantedBodySize, 'x'));
     cr_assert(fixture.peer.calls[0].remainingMicroseconds <= 30000000);
     cr_assert(fixture.peer.heads.empty());
 }
@@ -255,7 +255,7 @@
 {
     LinkFixture fixture;
     fixture.peer.grantsBodies = true;
-    const std::uint64_t id = fixture.call("large", smallestGrantedBody);
+    const std::uint64_t id = fixture.call("large", minimumGrantedBodySize);
     cr_assert(fixture.runUntil([&] { return fixture.peer.heads.size() == 1; }));
     if (row.granted) {
         fixture.peer.grant(id);
@@ -271,7 +271,7 @@
 {
     LinkFixture fixture;
     fixture.peer.grantsBodies = true;
-    const std::uint64_t id = fixture.call("large", smallestGrantedBody);
+    const std::uint64_t id = fixture.call("large", minimumGrantedBodySize);
     cr_assert(fixture.runUntil([&] { return fixture.peer.heads.size() == 1; }));
     fixture.link->cancel(id);
     fixture.peer.grant(id);
@@ -288,7 +288,7 @@
 {
     LinkFixture fixture;
     fixture.peer.grantsBodies = true;
-    const std::uint64_t id = fixture.call("large", smallestGrantedBody);
+    const std::uint64_t id = fixture.call("large", minimumGrantedBodySize);
     cr_assert(fixture.runUntil([&] { return fixture.peer.heads.size() == 1; }));
     fixture.link->withdraw(id);
     cr_assert(fixture.answers["large"].outcome == Outcome::NotRun);
@@ -349,7 +349,7 @@
     LinkFixture fixture;
     fixture.peer.grantsBodies = true;
     fixture.call("running");
-    fixture.call("large", smallestGrantedBody);
+    fixture.call("large", minimumGrantedBodySize);
     cr_assert(fixture.runUntil([&] { return fixture.peer.heads.size() == 1; }));
     fixture.peer.connections[0]->send(encodeFrame(FrameType::GoAway, GoAway{2}));
     cr_assert(fixture.runUntil([&] { return fixture.answers.contains("large"); }));
--- a/Tests/Node/TestPeerServer.cpp
+++ b/Tests/Node/TestPeerServer.cpp
@@ -81,7 +81,7 @@
     {"a body longer than its head says", headAndBodies(1, {{1, "xx"}})},
     {"a body shorter than its head says", headAndBodies(2, {{1, "x"}})},
     {"a head of no body", headAndBodies(0, {})},
-    {"a head of a body that no call may have", headAndBodies(maximumCarriedBody + 1, {})},
+    {"a head of a body that no call may have", headAndBodies(maximumBodySize + 1, {})},
     {"a grant where a call belongs", encodeFrame(FrameType::CallGrant, CallGrant{1})},
     {"HTTP", {'G', 'E', 'T', ' ', '/', ' ', 'H', 'T', 'T', 'P', '/', '1', '.', '1', '\r', '\n', '\r', '\n'}},
 };
@@ -103,7 +103,7 @@
         CallRequest request;
         request.cluster = "booking";
         request.remainingMicroseconds = 30000000;
-        request.attempt = name;
+        request.attemptId = name;
         request.callerCallId = name;
         request.method = "GET";
         request.target = "/" + name;
@@ -176,7 +176,7 @@
         request.idempotent = true;
         request.method = "GET";
         request.target = "/";
-        request.attempt = name;
+        request.attemptId = name;
         fixture.link->call(request, [](const CallResponse &) {});
     }
     cr_assert(
@@ -219,7 +219,7 @@
 {
     BodyGrantSettings grants;
     grants.inFlightTime = Milliseconds(300);
-    grants.bytesPerSecond = static_cast<double>(smallestGrantedBody) / 0.2;
+    grants.bytesPerSecond = static_cast<double>(minimumGrantedBodySize) / 0.2;
     return grants;
 }
 
@@ -228,10 +228,10 @@
     CallRequest request;
     request.cluster = "booking";
     request.remainingMicroseconds = static_cast<std::uint64_t>(Microseconds(remaining).count());
-    request.attempt = name;
+    request.attemptId = name;
     request.method = "POST";
     request.target = "/" + name;
-    request.body = std::string(smallestGrantedBody, 'x');
+    request.body = std::string(minimumGrantedBodySize, 'x');
     return request;
 }
 
@@ -262,7 +262,7 @@
             [this](const boost::system::error_code &error, std::size_t size) {
                 if (error)
                     return;
-                (void)this->reader.take(
+                (void)this->reader.feed(
                     {this->buffer.data(), size},
                     [this](FrameType type, std::span<const char> payload) { this->take(type, payload); });
                 this->read();
@@ -296,8 +296,8 @@
 
 const HelloRow helloRows[] = {
     {"an older version knows no Hello in answer", 1, narrowLink(), {FrameType::Pong}},
-    {"this version", protocolWithGrants, narrowLink(), {FrameType::Hello, FrameType::Pong}},
-    {"a link that is not told", protocolWithGrants, {}, {FrameType::Pong}},
+    {"this version", bodyGrantProtocolVersion, narrowLink(), {FrameType::Hello, FrameType::Pong}},
+    {"a link that is not told", bodyGrantProtocolVersion, {}, {FrameType::Pong}},
 };
 
 struct LinkRow
@@ -317,7 +317,8 @@
 };
 
 const FreedRow freedRows[] = {
-    {"its body comes", encodeFrame(FrameType::CallBody, CallBody{1, std::string(smallestGrantedBody, 'x')})},
+    {"its body comes",
+     encodeFrame(FrameType::CallBody, CallBody{1, std::string(minimumGrantedBodySize, 'x')})},
     {"its caller gives up", encodeFrame(FrameType::CallCancel, CallCancel{1})},
     {"its connection is lost", {}},
 };
@@ -347,7 +348,7 @@
     }
     cr_assert(fixture.runUntil([&] { return fixture.receivedRequests.size() == 3; }), "%s", row.what);
     for (std::size_t index = 0; index < 3; ++index) {
-        cr_assert(fixture.receivedRequests[index].body == std::string(smallestGrantedBody, 'x'));
+        cr_assert(fixture.receivedRequests[index].body == std::string(minimumGrantedBodySize, 'x'));
         fixture.exchanges[index]->respond(
             makeResponse(200, "text/plain", fixture.receivedRequests[index].target));
     }
@@ -363,9 +364,9 @@
     fixture.announce(4, UpstreamCondition::Ready);
     Sender first(fixture);
     Sender second(fixture);
-    first.send(encodeFrame(FrameType::CallHead, headOf(1, smallestGrantedBody)));
+    first.send(encodeFrame(FrameType::CallHead, headOf(1, minimumGrantedBodySize)));
     cr_assert(fixture.runUntil([&] { return first.granted == Granted{1}; }));
-    second.send(encodeFrame(FrameType::CallHead, headOf(2, smallestGrantedBody)));
+    second.send(encodeFrame(FrameType::CallHead, headOf(2, minimumGrantedBodySize)));
     second.send(encodeFrame(FrameType::Ping, Heartbeat{1}));
     fixture.context.run_for(Milliseconds(50));
     cr_assert(second.granted.empty());
@@ -383,8 +384,8 @@
     grants.grantLifetime = Milliseconds(50);
     PeerServerFixture fixture(grants);
     Sender sender(fixture);
-    sender.send(encodeFrame(FrameType::CallHead, headOf(1, smallestGrantedBody)));
-    sender.send(encodeFrame(FrameType::CallHead, headOf(2, smallestGrantedBody)));
+    sender.send(encodeFrame(FrameType::CallHead, headOf(1, minimumGrantedBodySize)));
+    sender.send(encodeFrame(FrameType::CallHead, headOf(2, minimumGrantedBodySize)));
     cr_assert(fixture.runUntil([&] { return sender.granted == Granted({1, 2}); }));
 }
 
@@ -393,8 +394,8 @@
 {
     PeerServerFixture fixture(narrowLink());
     Sender sender(fixture);
-    sender.send(encodeFrame(FrameType::CallHead, headOf(1, smallestGrantedBody)));
-    CallHead late = headOf(2, smallestGrantedBody);
+    sender.send(encodeFrame(FrameType::CallHead, headOf(1, minimumGrantedBodySize)));
+    CallHead late = headOf(2, minimumGrantedBodySize);
     late.call.remainingMicroseconds = 300000;
     sender.send(encodeFrame(FrameType::CallHead, late));
     cr_assert(fixture.runUntil([&] { return sender.answers.size() == 1; }));
@@ -409,8 +410,8 @@
 {
     PeerServerFixture fixture(narrowLink());
     Sender sender(fixture);
-    sender.send(encodeFrame(FrameType::CallHead, headOf(1, smallestGrantedBody)));
-    CallHead late = headOf(2, smallestGrantedBody);
+    sender.send(encodeFrame(FrameType::CallHead, headOf(1, minimumGrantedBodySize)));
+    CallHead late = headOf(2, minimumGrantedBodySize);
     late.call.remainingMicroseconds = 450000;
     sender.send(encodeFrame(FrameType::CallHead, late));
     const Instant sent = SteadyClock::now();
@@ -426,7 +427,7 @@
     PeerServerFixture fixture(narrowLink());
     fixture.announce(1, UpstreamCondition::Draining);
     Sender sender(fixture);
-    sender.send(encodeFrame(FrameType::CallHead, headOf(1, smallestGrantedBody)));
+    sender.send(encodeFrame(FrameType::CallHead, headOf(1, minimumGrantedBodySize)));
     cr_assert(fixture.runUntil([&] { return sender.answers.size() == 1; }));
     cr_assert(sender.answers[0].outcome == Outcome::NotRun);
     cr_assert(sender.answers[0].reason == "draining");
@@ -442,7 +443,7 @@
     PeerServerFixture fixture(grants);
     Sender sender(fixture);
     for (const std::uint64_t callId : {1, 2, 3, 4})
-        sender.send(encodeFrame(FrameType::CallHead, headOf(callId, smallestGrantedBody)));
+        sender.send(encodeFrame(FrameType::CallHead, headOf(callId, minimumGrantedBodySize)));
     cr_assert(fixture.runUntil([&] { return sender.answers.size() == 1; }));
     cr_assert(sender.answers[0].callId == 4);
     cr_assert(sender.answers[0].reason == "peer_congested");
@@ -491,10 +492,10 @@
 {
     PeerServerFixture fixture(narrowLink());
     Sender sender(fixture);
-    sender.send(encodeFrame(FrameType::CallHead, headOf(1, smallestGrantedBody)));
+    sender.send(encodeFrame(FrameType::CallHead, headOf(1, minimumGrantedBodySize)));
     cr_assert(fixture.runUntil([&] { return sender.granted.size() == 1; }));
     fixture.server.goAway();
-    sender.send(encodeFrame(FrameType::CallBody, CallBody{1, std::string(smallestGrantedBody, 'x')}));
+    sender.send(encodeFrame(FrameType::CallBody, CallBody{1, std::string(minimumGrantedBodySize, 'x')}));
     cr_assert(fixture.runUntil([&] { return sender.lastCallId.has_value(); }));
     cr_assert(sender.answers.size() == 1 && sender.answers[0].outcome == Outcome::NotRun);
     cr_assert(fixture.receivedRequests.empty() && fixture.gate.inFlight() == 0);
--- a/Utilities/NodeBench/Main.cpp
+++ b/Utilities/NodeBench/Main.cpp
@@ -126,7 +126,7 @@
 {
     CallRequest request;
     request.cluster = "service-1";
-    request.attempt = "host-100000-1796247817431419520-3";
+    request.attemptId = "host-100000-1796247817431419520-3";
     request.traceParent = "00-e98339ea041c3840761f4e19425ea1ac-b037295131751d17-01";
     request.method = "POST";
     request.target = "/reserve/hall/7";
