--- a/Libraries/LibWire/Archive.h
+++ b/Libraries/LibWire/Archive.h
@@ -1,6 +1,6 @@
-// Cereal archives over memory: the output appends to a byte vector, the input reads a span and never past it.
-// Numbers are little-endian. A peer's bytes are hostile until decoded, so a length that could not fit in what
-// is left is refused before anything is allocated for it.
+// Cereal archives over memory: the output archive appends to a byte vector, the input archive reads a span
+// with bounds checks. Numbers are little-endian. Input from a peer is untrusted, so a length that exceeds the
+// remaining bytes is rejected before any allocation.
 #pragma once
 
 #include <LibCore/Error.h>
@@ -19,7 +19,7 @@
 
 namespace Sagecrank {
 
-static_assert(std::endian::native == std::endian::little, "messages are written in the host's byte order");
+static_assert(std::endian::native == std::endian::little, "messages are written in native byte order");
 
 using Bytes = std::vector<char>;
 
@@ -54,7 +54,7 @@
     void loadBinary(void *data, std::size_t size)
     {
         if (size > this->source.size())
-            throw cereal::Exception("the message ends too early");
+            throw cereal::Exception("unexpected end of message");
         if (size > 0)
             std::memcpy(data, this->source.data(), size);
         this->source = this->source.subspan(size);
@@ -105,9 +105,9 @@
 {
     std::uint32_t size = 0;
     archive(size);
-    // Every element takes at least one byte, so a larger count is a lie.
+    // Each element takes at least one byte, so a larger count cannot be valid.
     if (size > archive.remaining())
-        throw cereal::Exception("a length is larger than the message");
+        throw cereal::Exception("length exceeds the message");
     tag.size = size;
 }
 
@@ -138,7 +138,7 @@
     return bytes;
 }
 
-// Fails with InvalidInput on anything that is not exactly one message.
+// Fails with InvalidInput unless the bytes are exactly one message.
 template <typename Message>
 Result<Message> decode(std::span<const char> bytes, const std::string &step, const std::string &peer)
 {
@@ -147,7 +147,7 @@
         Message message;
         archive(message);
         if (archive.remaining() > 0)
-            return makeError(ErrorKind::InvalidInput, step, peer, "bytes are left after the message");
+            return makeError(ErrorKind::InvalidInput, step, peer, "trailing bytes after the message");
         return message;
     } catch (const std::exception &exception) {
         return makeError(ErrorKind::InvalidInput, step, peer, exception.what());
--- a/Libraries/LibWire/Frame.cpp
+++ b/Libraries/LibWire/Frame.cpp
@@ -1,14 +1,14 @@
-// Cuts a byte stream into frames.
+// Splits a byte stream into frames.
 #include <LibWire/Frame.h>
 
 namespace Sagecrank {
 
-Result<void> FrameReader::feed(std::span<const char> bytes, const FrameCallback &frame)
+Result<void> FrameReader::feed(std::span<const char> bytes, const FrameCallback &onFrame)
 {
-    const bool joined = !this->partial.empty();
-    if (joined)
+    const bool hasPartial = !this->partial.empty();
+    if (hasPartial)
         this->partial.insert(this->partial.end(), bytes.begin(), bytes.end());
-    const std::span<const char> all = joined ? std::span<const char>(this->partial) : bytes;
+    const std::span<const char> all = hasPartial ? std::span<const char>(this->partial) : bytes;
     std::span<const char> rest = all;
 
     while (rest.size() >= frameHeaderSize) {
@@ -20,12 +20,12 @@
         if (rest.size() < frameHeaderSize + length)
             break;
         const auto type = static_cast<FrameType>(rest[sizeof(length)]);
-        frame(type, rest.subspan(frameHeaderSize, length));
+        onFrame(type, rest.subspan(frameHeaderSize, length));
         rest = rest.subspan(frameHeaderSize + length);
     }
-    // Load: a body of megabytes comes in some hundred pieces. Harm: copied at each piece, 16 MiB cost two
-    // gigabytes of copying. So what waits for its end stays where it is.
-    if (!joined || rest.size() < all.size())
+    // A large body arrives in some hundred pieces. Copying the partial frame at each piece would copy two
+    // gigabytes for a 16 MiB frame, so it is left in place until frames have been consumed.
+    if (!hasPartial || rest.size() < all.size())
         this->partial = Bytes(rest.begin(), rest.end());
     return success();
 }
--- a/Libraries/LibWire/Frame.h
+++ b/Libraries/LibWire/Frame.h
@@ -1,5 +1,5 @@
-// Frames on a TCP connection between nodes: four bytes of length, one byte of type, then one encoded message.
-// The reader takes bytes as they come and hands out whole frames; it knows no sockets.
+// Framing for TCP connections between nodes: a four-byte length, a one-byte type and one encoded message. The
+// reader is independent of sockets: it is fed bytes as they arrive and emits whole frames.
 #pragma once
 
 #include <LibCore/Error.h>
@@ -19,26 +19,26 @@
     CallCancel,
     Ping,
     Pong,
-    CallWithdraw, // A CallCancel for a call that has not begun; one that runs goes on.
-    CallHead,     // A call whose body stays with its sender until it is granted.
+    CallWithdraw, // Cancels a call that has not started; a running one continues.
+    CallHead,     // A call whose sender keeps the body until it receives a grant.
     CallGrant,
-    CallBody, // Once for each grant; the call is whole then.
-    GoAway,   // The last frame of a node that ends.
+    CallBody, // Sent once per grant; completes the call.
+    GoAway,   // The last frame of a node that shuts down.
     // Configuration pulls, on the control port.
     PullRequest = 32,
     PullResponse,
 };
 
-// The largest body that a call or its answer may have; a site's own limit is at most this.
+// The maximum body size of a call or its response. The configured limit of a site cannot exceed it.
 inline constexpr std::size_t maximumBodySize = std::size_t{16} << 20;
 
-// A frame carries a body whole, and has room for its headers. A longer frame is taken for a broken or hostile
-// peer, whose connection is closed before memory is given to it.
+// Leaves room for a whole body and its headers. A longer frame comes from a faulty or hostile peer, and its
+// connection is closed before memory is allocated for the frame.
 inline constexpr std::size_t maximumFrameSize = maximumBodySize + (std::size_t{1} << 20);
 
 inline constexpr std::size_t frameHeaderSize = 5;
 
-// Room that most frames fit in without growing.
+// Most frames fit without reallocation.
 inline constexpr std::size_t initialFrameCapacity = 1024;
 
 template <typename Message>
@@ -57,7 +57,7 @@
 class FrameReader
 {
 public:
-    // The payload is only valid during the call.
+    // The payload is valid only during the callback.
     using FrameCallback = std::function<void(FrameType, std::span<const char> payload)>;
 
     explicit FrameReader(std::size_t maximumSize = maximumFrameSize)
@@ -65,12 +65,12 @@
     {
     }
 
-    // Fails when a frame is too long; the connection is then of no more use.
-    Result<void> feed(std::span<const char> bytes, const FrameCallback &frame);
+    // Fails when a frame is too long; the stream cannot be resynchronised after that.
+    Result<void> feed(std::span<const char> bytes, const FrameCallback &onFrame);
 
 private:
     std::size_t maximumSize; // Of a payload.
-    Bytes partial;           // The start of a frame whose end has not come yet.
+    Bytes partial;           // The start of an incomplete frame.
 };
 
 } // namespace Sagecrank
--- a/Libraries/LibWire/PeerMessages.h
+++ b/Libraries/LibWire/PeerMessages.h
@@ -1,5 +1,5 @@
-// What nodes say to each other about calls. A connection carries many calls at a time; callId pairs an answer
-// with its request, so answers may come late and in any order.
+// Messages between nodes about calls. A connection multiplexes many calls: callId matches a response to its
+// request, so responses may arrive late and in any order.
 #pragma once
 
 #include <LibConfig/Model.h>
@@ -12,10 +12,10 @@
 
 namespace Sagecrank {
 
-// What is known of a call's effect when it ends.
+// What is known about a call's effect when it ends.
 enum class Outcome : std::uint8_t {
-    Done,    // The upstream answered.
-    NotRun,  // Proven not to have begun; safe to send again.
+    Done,    // The upstream responded.
+    NotRun,  // Proven not to have started; safe to retry.
     Unknown, // May have run.
 };
 
@@ -37,10 +37,12 @@
     }
 };
 
-// From this one on, a node that answers a Hello with its own takes CallHead and grants bodies.
+// From this protocol version on, a node that replies to a Hello with its own accepts CallHead and grants
+// bodies.
 inline constexpr std::uint32_t bodyGrantProtocolVersion = 2;
 
-// A body from this size on waits for its grant; a smaller one is not worth the round trip.
+// Bodies of at least this size wait for a grant; for smaller ones the extra round trip costs more than it
+// saves.
 inline constexpr std::size_t minimumGrantedBodySize = std::size_t{16} << 10;
 
 struct HelloMessage
@@ -61,15 +63,15 @@
     std::string cluster;
     CallClass callClass = CallClass::Interactive;
     bool idempotent = false;
-    std::uint64_t remainingMicroseconds =
-        0; // Until the caller's deadline, by the sender's clock; clocks are not compared.
-    std::uint32_t priority = 1;                    // Rank among the calls of one upstream; 0 goes first.
-    std::uint64_t remainingTargetMicroseconds = 0; // Until the answer is worth less; 0 when not stated.
-    std::uint64_t kind = 0;     // Names the route: its calls run about as long as each other.
-    bool lateAccepted = true;   // An answer after the target is wanted too: there is no better place left.
-    std::string attemptId;      // Unique for each time that a call is sent to a gate.
-    std::string idempotencyKey; // Empty when the caller gave none.
-    std::string callerCallId;   // The caller's own name for the call, passed through.
+    // Time to the caller's deadline when sent. It is relative, so that clocks need not be synchronised.
+    std::uint64_t remainingMicroseconds = 0;
+    std::uint32_t priority = 1;                    // Among the calls of one upstream; 0 is the highest.
+    std::uint64_t remainingTargetMicroseconds = 0; // To the latency target; 0 for none.
+    std::uint64_t kind = 0;                        // A hash of the route; its calls have similar run times.
+    bool lateAccepted = true;   // A response after the target is still useful, since no other gate is left.
+    std::string attemptId;      // Unique for each time a call is sent to a gate.
+    std::string idempotencyKey; // Empty when the caller sent none.
+    std::string callerCallId;   // The caller's id of the call, passed through.
     std::string traceParent;
     std::string method;
     std::string target;
@@ -88,7 +90,7 @@
 
 struct CallHead
 {
-    CallRequest call; // Without its body.
+    CallRequest call; // Without the body.
     std::uint64_t bodyBytes = 0;
 
     template <typename Archive>
@@ -127,19 +129,19 @@
     Outcome outcome = Outcome::Unknown;
     std::string reason; // Empty when done.
     std::uint32_t retryAfterMilliseconds = 0;
-    bool replayed = false;  // The recorded answer of an earlier attempt with the same key.
-    bool claimHeld = false; // Refused after its key was claimed: only the caller may send it again, later.
-    bool reachedUpstream = false; // It was sent to the upstream, whatever became of it there.
+    bool replayed = false;  // Recorded response of an earlier attempt with the same idempotency key.
+    bool claimHeld = false; // Refused after its key was claimed, so only the caller may retry it, later.
+    bool reachedUpstream = false; // It was sent to the upstream, whatever its outcome.
     std::uint32_t status = 0;
     std::vector<Header> headers;
     std::string body;
-    // The gate's load when it answered, for placing.
+    // The gate's load when it responded; used for load balancing.
     std::uint32_t freeSlots = 0;
     std::uint32_t queued = 0;
     bool draining = false;
     std::uint64_t executionMicroseconds = 0; // At the upstream; 0 when it did not run.
-    std::uint64_t expectedWaitMicroseconds =
-        0; // Until a slot is free for a call of this kind, if it came now.
+    // The wait for a slot of a call of this kind that arrives now.
+    std::uint64_t expectedWaitMicroseconds = 0;
 
     template <typename Archive>
     void serialize(Archive &archive)
@@ -162,8 +164,8 @@
     }
 };
 
-// Calls of a higher number have not run there and will not. Those up to it have been answered before, or
-// nobody knows how they end.
+// Calls with a higher id have not run and will not. Each call up to it has been answered before this frame,
+// or its outcome is unknown.
 struct GoAway
 {
     std::uint64_t lastCallId = 0;
--- a/Tests/LibWire/TestFrame.cpp
+++ b/Tests/LibWire/TestFrame.cpp
@@ -1,4 +1,4 @@
-// Frames and messages between nodes, whole, in pieces and hostile.
+// Frames and messages between nodes: whole, in chunks, truncated and malformed.
 #include <LibWire/Frame.h>
 #include <LibWire/PeerMessages.h>
 
@@ -10,7 +10,7 @@
 
 namespace {
 
-CallRequest exampleRequest()
+CallRequest makeRequest()
 {
     CallRequest request;
     request.callId = 7;
@@ -33,13 +33,13 @@
 
 const ChunkRow chunkRows[] = {{1}, {2}, {4}, {5}, {7}, {1000}};
 
-struct HostileRow
+struct MalformedRow
 {
     const char *what;
     std::vector<unsigned char> bytes;
 };
 
-const HostileRow hostileRows[] = {
+const MalformedRow malformedRows[] = {
     {"nothing", {}},
     {"half a number", {1, 2, 3}},
     {"a string longer than the message", {0, 0, 0, 0, 0, 0, 0, 0, 0xff, 0xff, 0xff, 0xff, 'a'}},
@@ -48,9 +48,9 @@
 
 } // namespace
 
-TABLE_TEST(frame, arrivesWholeWhateverThePieces, chunkRows)
+TABLE_TEST(frame, isReassembledFromChunks, chunkRows)
 {
-    Bytes stream = encodeFrame(FrameType::CallRequest, exampleRequest());
+    Bytes stream = encodeFrame(FrameType::CallRequest, makeRequest());
     const Bytes second = encodeFrame(FrameType::Ping, Heartbeat{3});
     stream.insert(stream.end(), second.begin(), second.end());
 
@@ -60,52 +60,52 @@
     const std::span<const char> all(stream);
     for (std::size_t at = 0; at < all.size(); at += row.size) {
         const auto piece = all.subspan(at, std::min(row.size, all.size() - at));
-        const Result<void> taken = reader.feed(piece, [&](FrameType type, std::span<const char> payload) {
+        const Result<void> result = reader.feed(piece, [&](FrameType type, std::span<const char> payload) {
             types.push_back(type);
             if (type == FrameType::CallRequest)
                 body = decode<CallRequest>(payload, "test", "").value().body;
         });
-        cr_assert(taken.has_value());
+        cr_assert(result.has_value());
     }
     cr_assert(types == std::vector({FrameType::CallRequest, FrameType::Ping}));
     cr_assert(body == "two places");
 }
 
-// A peer announces a frame of four gigabytes. Without a limit the node would wait for it and keep what comes;
-// the reader fails at the header, before any memory is given.
-Test(frame, tooLongIsRefusedAtItsHeader)
+// A peer announces a frame of four gigabytes. Without a limit the node would buffer it; the reader fails at
+// the frame header, before allocating memory.
+Test(frame, oversizedFrameIsRejectedAtItsHeader)
 {
     const unsigned char header[] = {0xff, 0xff, 0xff, 0xff, 2};
     FrameReader reader;
     bool called = false;
-    const Result<void> taken = reader.feed({reinterpret_cast<const char *>(header), sizeof(header)},
-                                           [&](FrameType, std::span<const char>) { called = true; });
-    cr_assert(!taken);
-    cr_assert(taken.error().kind == ErrorKind::TooLarge);
+    const Result<void> result = reader.feed({reinterpret_cast<const char *>(header), sizeof(header)},
+                                            [&](FrameType, std::span<const char>) { called = true; });
+    cr_assert(!result);
+    cr_assert(result.error().kind == ErrorKind::TooLarge);
     cr_assert(!called);
 }
 
-// The largest body that a site may allow, with headers, comes in pieces as a socket gives them.
-Test(frame, theLargestBodyFits)
+// A body of the maximum size, with headers, arrives in chunks as from a socket.
+Test(frame, maximumBodySizeIsAccepted)
 {
-    CallRequest request = exampleRequest();
+    CallRequest request = makeRequest();
     request.body.assign(maximumBodySize, 'b');
     request.headers.push_back({"X", std::string(std::size_t{500} << 10, 'x')});
     const Bytes stream = encodeFrame(FrameType::CallRequest, request);
     constexpr std::size_t piece = 65536;
     FrameReader reader;
-    std::size_t arrived = 0;
+    std::size_t receivedBytes = 0;
     for (std::size_t at = 0; at < stream.size(); at += piece) {
         const std::span<const char> part(stream.data() + at, std::min(piece, stream.size() - at));
-        const Result<void> taken = reader.feed(part, [&](FrameType, std::span<const char> payload) {
-            arrived = decode<CallRequest>(payload, "test", "").value().body.size();
+        const Result<void> result = reader.feed(part, [&](FrameType, std::span<const char> payload) {
+            receivedBytes = decode<CallRequest>(payload, "test", "").value().body.size();
         });
-        cr_assert(taken.has_value());
+        cr_assert(result.has_value());
     }
-    cr_assert(arrived == maximumBodySize);
+    cr_assert(receivedBytes == maximumBodySize);
 }
 
-TABLE_TEST(message, hostileBytesAreRefused, hostileRows)
+TABLE_TEST(message, malformedBytesAreRejected, malformedRows)
 {
     const std::span<const char> bytes(reinterpret_cast<const char *>(row.bytes.data()), row.bytes.size());
     const Result<CallRequest> request = decode<CallRequest>(bytes, "read call", "peer");
@@ -114,15 +114,15 @@
     cr_assert(request.error().peer == "peer");
 }
 
-// Any cut of a good message is refused, and no random change of it ends the process.
-Test(message, cutAndChangedMessagesNeverEscape)
+// Every truncation of a valid message is rejected, and no random mutation crashes the process.
+Test(message, truncatedAndMutatedMessagesAreHandled)
 {
-    const Bytes good = encode(exampleRequest());
-    for (std::size_t size = 0; size < good.size(); ++size)
-        cr_assert(!decode<CallRequest>({good.data(), size}, "read call", "peer"));
+    const Bytes valid = encode(makeRequest());
+    for (std::size_t size = 0; size < valid.size(); ++size)
+        cr_assert(!decode<CallRequest>({valid.data(), size}, "read call", "peer"));
     std::mt19937_64 random(20);
     for (int round = 0; round < 20000; ++round) {
-        Bytes changed = good;
+        Bytes changed = valid;
         const std::size_t changes = 1 + random() % 4;
         for (std::size_t change = 0; change < changes; ++change)
             changed[random() % changed.size()] = static_cast<char>(random());
--- a/Tests/LibWire/TestHostileInput.cpp
+++ b/Tests/LibWire/TestHostileInput.cpp
@@ -1,5 +1,4 @@
-// Frames and messages between nodes, damaged at random: a peer may be of another version, or not a node at
-// all.
+// Randomly mutated frames and messages: a peer may run another version or not be a node at all.
 #include <LibWire/Frame.h>
 #include <LibWire/PeerMessages.h>
 
@@ -12,7 +11,7 @@
 
 const std::uint64_t seeds[] = {1, 2, 3, 4, 5, 6, 7, 8};
 
-std::string exampleStream()
+std::string makeStream()
 {
     CallRequest request;
     request.callId = 7;
@@ -38,36 +37,36 @@
 }
 
 template <typename Message>
-void decodeBoth(std::span<const char> payload)
+void decodeAndReencode(std::span<const char> payload)
 {
     const Result<Message> decoded = decode<Message>(payload, "decode", "peer");
     if (!decoded)
         return;
-    const Bytes again = encode(decoded.value());
-    cr_assert(std::ranges::equal(again, payload), "what is taken is what was sent");
+    const Bytes reencoded = encode(decoded.value());
+    cr_assert(std::ranges::equal(reencoded, payload), "a decoded message must encode to the same bytes");
 }
 
 } // namespace
 
-// A damaged stream ends in an error or in messages; what is held of it stays below the largest frame.
+// A mutated stream yields an error or messages; the reader buffers at most one frame of the maximum size.
 TABLE_TEST(hostileInput, streams, seeds)
 {
     Mutations mutations(row);
-    const std::string good = exampleStream();
+    const std::string valid = makeStream();
     for (std::size_t round = 0; round < Mutations::rounds(3000); ++round) {
-        const std::string bad = mutations.of(good);
+        const std::string mutated = mutations.of(valid);
         FrameReader reader;
-        (void)reader.feed(std::span<const char>(bad), [](FrameType type, std::span<const char> payload) {
+        (void)reader.feed(std::span<const char>(mutated), [](FrameType type, std::span<const char> payload) {
             if (type == FrameType::CallRequest)
-                decodeBoth<CallRequest>(payload);
+                decodeAndReencode<CallRequest>(payload);
             else if (type == FrameType::CallResponse)
-                decodeBoth<CallResponse>(payload);
+                decodeAndReencode<CallResponse>(payload);
             else if (type == FrameType::CallHead)
-                decodeBoth<CallHead>(payload);
+                decodeAndReencode<CallHead>(payload);
             else if (type == FrameType::CallGrant)
-                decodeBoth<CallGrant>(payload);
+                decodeAndReencode<CallGrant>(payload);
             else if (type == FrameType::CallBody)
-                decodeBoth<CallBody>(payload);
+                decodeAndReencode<CallBody>(payload);
             else
                 (void)decode<Heartbeat>(payload, "decode", "peer");
         });
