--- a/Services/Node/Peers/BodyLine.cpp
+++ b/Services/Node/Peers/BodyGrantQueue.cpp
@@ -1,5 +1,5 @@
 // Asking, ending, and telling turns to the threads that wait for them.
-#include "BodyLine.h"
+#include "BodyGrantQueue.h"
 
 #include <boost/asio/post.hpp>
 
--- a/Services/Node/Peers/PeerServer.h
+++ b/Services/Node/Peers/PeerServer.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include <Node/Gate/LocalGate.h>
-#include <Node/Peers/BodyLine.h>
+#include <Node/Peers/BodyGrantQueue.h>
 
 #include <LibNet/FramedConnection.h>
 
