--- a/Services/Node/Callers/Worker.cpp
+++ b/Services/Node/Callers/Worker.cpp
@@ -33,8 +33,8 @@
 
 } // namespace
 
-Worker::Worker(const NodeSettings &settings, LocalGate &gate, BodyLine &bodies, RequestObserver &observer,
-               CallerHooks callers)
+Worker::Worker(const NodeSettings &settings, LocalGate &gate, BodyGrantQueue &bodies,
+               RequestObserver &observer, CallerHooks callers)
     : settings(settings)
     , observer(observer)
     , work(boost::asio::make_work_guard(this->context))
@@ -83,7 +83,7 @@
         this->callerServer.disableKeepAlive();
         this->ending = true;
         for (const auto &[address, link] : this->links)
-            link->waitThroughSilence();
+            link->disableSilenceTimeout();
     });
 }
 
@@ -120,7 +120,7 @@
 
 void Worker::awaitPeers(Instant until, std::function<void()> done)
 {
-    if (this->peerServer.awaitedCloses() == 0 || SteadyClock::now() >= until)
+    if (this->peerServer.pendingCloses() == 0 || SteadyClock::now() >= until)
         return done();
     this->peersTimer.expires_after(peersCheckInterval);
     this->peersTimer.async_wait(
@@ -131,7 +131,8 @@
 
 bool Worker::allAnswered() const
 {
-    return this->callerServer.pendingResponses() == 0 && this->peerServer.unsent() == 0;
+    return this->callerServer.pendingResponses() == 0
+           && this->peerServer.connectionsWithUnsentResponses() == 0;
 }
 
 // Kept alive while each of them may end others and itself.
@@ -165,12 +166,12 @@
     PeerLinkSettings peer;
     peer.ownId = this->settings.id;
     peer.connectTimeout = this->settings.requests.connectTimeout;
-    peer.silence = this->settings.requests.peerSilence;
+    peer.silenceTimeout = this->settings.requests.peerSilence;
     auto link = std::make_shared<PeerLink>(
         this->context, peerAddress, peer,
         [this, peerAddress](const Error &reason) { this->observer.peerLost(peerAddress, reason); });
     if (this->ending)
-        link->waitThroughSilence();
+        link->disableSilenceTimeout();
     return link;
 }
 
--- a/Services/Node/Callers/Worker.h
+++ b/Services/Node/Callers/Worker.h
@@ -39,7 +39,7 @@
 class Worker
 {
 public:
-    Worker(const NodeSettings &settings, LocalGate &gate, BodyLine &bodies, RequestObserver &observer,
+    Worker(const NodeSettings &settings, LocalGate &gate, BodyGrantQueue &bodies, RequestObserver &observer,
            CallerHooks callers);
     ~Worker();
     Worker(const Worker &) = delete;
--- a/Services/Node/Node.h
+++ b/Services/Node/Node.h
@@ -89,7 +89,7 @@
     ClaimService claims;
     RequestQuarantine quarantine;
     LocalGate gate;
-    BodyLine bodies;
+    BodyGrantQueue bodies;
     UpstreamPresence presence;
     UpstreamRecord record;
     RefusedCallers refusedCallers;
--- a/Services/Node/Peers/BodyGrantQueue.cpp
+++ b/Services/Node/Peers/BodyGrantQueue.cpp
@@ -5,56 +5,56 @@
 
 namespace Sagecrank {
 
-BodyLine::Name BodyLine::nextName()
+BodyGrantQueue::Id BodyGrantQueue::nextId()
 {
     const std::lock_guard guard(this->mutex);
-    return ++this->lastName;
+    return ++this->lastId;
 }
 
-BodyGrantResult BodyLine::ask(boost::asio::io_context &context, Name name, std::uint64_t bytes,
-                              std::uint32_t priority, TurnHook turn)
+BodyGrantResult BodyGrantQueue::request(boost::asio::io_context &context, Id id, std::uint64_t bytes,
+                                        std::uint32_t priority, GrantCallback onGranted)
 {
     const std::lock_guard guard(this->mutex);
-    this->tellTurns();
-    const BodyGrantResult answer = this->grants.request(SteadyClock::now(), name, bytes, priority);
+    this->notifyGranted();
+    const BodyGrantResult answer = this->grants.request(SteadyClock::now(), id, bytes, priority);
     if (answer == BodyGrantResult::Queued)
-        this->waiting.emplace(name, Waiting{&context, std::move(turn)});
+        this->waiting.emplace(id, Waiting{&context, std::move(onGranted)});
     return answer;
 }
 
-void BodyLine::end(Name name)
+void BodyGrantQueue::release(Id id)
 {
     const std::lock_guard guard(this->mutex);
-    this->grants.release(name);
-    this->waiting.erase(name);
-    this->tellTurns();
+    this->grants.release(id);
+    this->waiting.erase(id);
+    this->notifyGranted();
 }
 
-void BodyLine::advance()
+void BodyGrantQueue::advance()
 {
     const std::lock_guard guard(this->mutex);
-    this->tellTurns();
+    this->notifyGranted();
 }
 
-Duration BodyLine::expected(std::uint64_t bytes, std::uint32_t priority) const
+Duration BodyGrantQueue::expectedWait(std::uint64_t bytes, std::uint32_t priority) const
 {
     const std::lock_guard guard(this->mutex);
     return this->grants.expectedDelay(bytes, priority);
 }
 
-std::optional<Instant> BodyLine::nextExpiry() const
+std::optional<Instant> BodyGrantQueue::nextExpiry() const
 {
     const std::lock_guard guard(this->mutex);
     return this->grants.nextExpiry();
 }
 
-void BodyLine::tellTurns()
+void BodyGrantQueue::notifyGranted()
 {
-    for (const Name name : this->grants.advance(SteadyClock::now())) {
-        const auto found = this->waiting.find(name);
+    for (const Id id : this->grants.advance(SteadyClock::now())) {
+        const auto found = this->waiting.find(id);
         if (found == this->waiting.end())
             continue;
-        boost::asio::post(*found->second.context, std::move(found->second.turn));
+        boost::asio::post(*found->second.context, std::move(found->second.onGranted));
         this->waiting.erase(found);
     }
 }
--- a/Services/Node/Peers/BodyGrantQueue.h
+++ b/Services/Node/Peers/BodyGrantQueue.h
@@ -12,42 +12,42 @@
 
 namespace Sagecrank {
 
-class BodyLine
+class BodyGrantQueue
 {
 public:
-    using Name = BodyGrants::BodyId;
-    using TurnHook = std::function<void()>;
+    using Id = BodyGrants::BodyId;
+    using GrantCallback = std::function<void()>;
 
-    explicit BodyLine(BodyGrantSettings settings)
+    explicit BodyGrantQueue(BodyGrantSettings settings)
         : grants(settings)
     {
     }
 
     // From any thread.
     bool isLimited() const { return this->grants.isLimited(); }
-    Name nextName();
+    Id nextId();
     // With Queued the hook is called once, on the context, when the body is granted; not after end().
-    BodyGrantResult ask(boost::asio::io_context &context, Name name, std::uint64_t bytes,
-                        std::uint32_t priority, TurnHook turn);
-    void end(Name name);
+    BodyGrantResult request(boost::asio::io_context &context, Id id, std::uint64_t bytes,
+                            std::uint32_t priority, GrantCallback onGranted);
+    void release(Id id);
     void advance();
-    Duration carries(std::uint64_t bytes) const { return this->grants.transferTime(bytes); }
-    Duration expected(std::uint64_t bytes, std::uint32_t priority) const;
+    Duration transferTime(std::uint64_t bytes) const { return this->grants.transferTime(bytes); }
+    Duration expectedWait(std::uint64_t bytes, std::uint32_t priority) const;
     std::optional<Instant> nextExpiry() const;
 
 private:
     struct Waiting
     {
         boost::asio::io_context *context = nullptr;
-        TurnHook turn;
+        GrantCallback onGranted;
     };
 
-    void tellTurns(); // With the lock held.
+    void notifyGranted(); // With the lock held.
 
     mutable std::mutex mutex; // Guards what follows; the limit does not change.
     BodyGrants grants;
-    std::unordered_map<Name, Waiting> waiting;
-    Name lastName = 0;
+    std::unordered_map<Id, Waiting> waiting;
+    Id lastId = 0;
 };
 
 } // namespace Sagecrank
--- a/Services/Node/Peers/PeerLink.cpp
+++ b/Services/Node/Peers/PeerLink.cpp
@@ -32,7 +32,7 @@
 } // namespace
 
 PeerLink::PeerLink(boost::asio::io_context &context, std::string address, PeerLinkSettings settings,
-                   LostHook lost)
+                   ConnectionLostHook lost)
     : context(context)
     , address(std::move(address))
     , settings(std::move(settings))
@@ -49,7 +49,7 @@
             makeError(ErrorKind::Unavailable, "keep connection", this->address, "dropped"));
 }
 
-std::uint64_t PeerLink::call(CallRequest request, AnswerHook answer)
+std::uint64_t PeerLink::call(CallRequest request, ResponseCallback answer)
 {
     const std::uint64_t callId = this->nextCallId++;
     request.callId = callId;
@@ -57,7 +57,7 @@
     this->calls[callId].answer = std::move(answer);
 
     const bool congested =
-        this->connection && this->connection->bytesQueued() > this->settings.maximumWaitingBytes;
+        this->connection && this->connection->bytesQueued() > this->settings.maximumQueuedBytes;
     const bool gone = this->connection && this->otherLeaves;
     const bool unreachable = gone || (!this->connection && !this->connecting && this->usedAt < this->retryAt);
     if (congested || unreachable) {
@@ -176,7 +176,7 @@
 
 void PeerLink::failUnsent(std::string_view reason)
 {
-    std::vector<AnswerHook> hooks;
+    std::vector<ResponseCallback> hooks;
     for (auto entry = this->calls.begin(); entry != this->calls.end();) {
         if (!entry->second.reachedNobody()) {
             ++entry;
@@ -185,7 +185,7 @@
         hooks.push_back(std::move(entry->second.answer));
         entry = this->calls.erase(entry);
     }
-    for (const AnswerHook &hook : hooks)
+    for (const ResponseCallback &hook : hooks)
         hook(linkFailure(Outcome::NotRun, reason));
 }
 
@@ -308,7 +308,7 @@
     const auto found = this->calls.find(callId);
     if (found == this->calls.end())
         return; // It was cancelled meanwhile.
-    const AnswerHook hook = std::move(found->second.answer);
+    const ResponseCallback hook = std::move(found->second.answer);
     this->calls.erase(found);
     hook(std::move(response));
 }
@@ -327,7 +327,7 @@
     if (this->timerArmed)
         return;
     this->timerArmed = true;
-    const Duration interval = this->settings.silence / probesPerSilence;
+    const Duration interval = this->settings.silenceTimeout / probesPerSilence;
     this->heartbeatDue = SteadyClock::now() + interval;
     this->timer.expires_at(this->heartbeatDue);
     this->timer.async_wait([link = this->weak_from_this()](const boost::system::error_code &error) {
@@ -345,7 +345,7 @@
         return;
     const Instant now = SteadyClock::now();
     // This process itself was held up: answers may lie unread, so the silence is counted anew.
-    if (this->unansweredSince && now - this->heartbeatDue > this->settings.silence / 2)
+    if (this->unansweredSince && now - this->heartbeatDue > this->settings.silenceTimeout / 2)
         this->unansweredSince = now;
     if (this->isSilent(now) && !this->waitsThroughSilence)
         return this->connection->close(
--- a/Services/Node/Peers/PeerLink.h
+++ b/Services/Node/Peers/PeerLink.h
@@ -22,25 +22,27 @@
 {
     std::string ownId;
     Milliseconds connectTimeout{500};
-    Milliseconds silence{1000};      // With calls under way and nothing heard for this long, it is given up.
+    Milliseconds silenceTimeout{
+        1000};                       // With calls under way and nothing heard for this long, it is given up.
     Milliseconds idleTimeout{60000}; // Without calls it is closed after this.
-    std::size_t maximumWaitingBytes = std::size_t{8} << 20; // More than this unsent, and calls are refused.
+    std::size_t maximumQueuedBytes = std::size_t{8} << 20; // More than this unsent, and calls are refused.
 };
 
 // Belongs to one io_context that one thread runs.
 class PeerLink : public std::enable_shared_from_this<PeerLink>
 {
 public:
-    using AnswerHook = std::function<void(CallResponse)>;
-    using LostHook = std::function<void(const Error &)>; // The connection broke with calls on it.
+    using ResponseCallback = std::function<void(CallResponse)>;
+    using ConnectionLostHook = std::function<void(const Error &)>; // The connection broke with calls on it.
 
-    PeerLink(boost::asio::io_context &context, std::string address, PeerLinkSettings settings, LostHook lost);
+    PeerLink(boost::asio::io_context &context, std::string address, PeerLinkSettings settings,
+             ConnectionLostHook lost);
     ~PeerLink();
     PeerLink(const PeerLink &) = delete;
     PeerLink &operator=(const PeerLink &) = delete;
 
     // The answer comes exactly once, never from inside this call. Returns the number for cancel().
-    std::uint64_t call(CallRequest request, AnswerHook answer);
+    std::uint64_t call(CallRequest request, ResponseCallback answer);
 
     // Tells the other side that nobody waits any more, and forgets the answer hook.
     void cancel(std::uint64_t callId);
@@ -49,12 +51,12 @@
     void withdraw(std::uint64_t callId);
 
     // Silence is no reason to give up a call any more.
-    void waitThroughSilence() { this->waitsThroughSilence = true; }
+    void disableSilenceTimeout() { this->waitsThroughSilence = true; }
 
     // Something was sent that must be answered, and nothing was heard for longer than allowed.
     bool isSilent(Instant now) const
     {
-        return this->unansweredSince && now - *this->unansweredSince > this->settings.silence;
+        return this->unansweredSince && now - *this->unansweredSince > this->settings.silenceTimeout;
     }
 
     bool unusedSince(Instant before) const { return this->calls.empty() && this->usedAt < before; }
@@ -62,7 +64,7 @@
 private:
     struct Pending
     {
-        AnswerHook answer;
+        ResponseCallback answer;
         Bytes unsent; // The first frame while there is no connection; empty once it may have left.
         std::optional<CallRequest> held; // Its body has not left, so it has not run.
         Instant heldSince;
@@ -94,7 +96,7 @@
     boost::asio::io_context &context;
     const std::string address;
     const PeerLinkSettings settings;
-    const LostHook lost;
+    const ConnectionLostHook lost;
     std::shared_ptr<FramedConnection> connection; // Null while there is none.
     std::unordered_map<std::uint64_t, Pending> calls;
     std::uint64_t nextCallId = 1;
--- a/Services/Node/Peers/PeerServer.cpp
+++ b/Services/Node/Peers/PeerServer.cpp
@@ -26,7 +26,7 @@
 
 struct PeerServer::State
 {
-    State(RequestThread home, LocalGate &gate, BodyLine &bodies, RequestObserver &observer)
+    State(RequestThread home, LocalGate &gate, BodyGrantQueue &bodies, RequestObserver &observer)
         : home(home)
         , gate(gate)
         , bodies(bodies)
@@ -37,10 +37,10 @@
 
     RequestThread home;
     LocalGate &gate;
-    BodyLine &bodies;
+    BodyGrantQueue &bodies;
     RequestObserver &observer;
     tcp::acceptor acceptor;
-    std::atomic<std::size_t> unsent = 0;
+    std::atomic<std::size_t> connectionsWithUnsentResponses = 0;
     std::unordered_set<PeerSession *> sessions; // With an open connection.
 };
 
@@ -55,7 +55,7 @@
 // A call whose body is still with its sender.
 struct CallAhead
 {
-    CallAhead(boost::asio::io_context &context, CallHead head, BodyLine::Name name)
+    CallAhead(boost::asio::io_context &context, CallHead head, BodyGrantQueue::Id name)
         : head(std::move(head))
         , name(name)
         , arrived(SteadyClock::now())
@@ -86,7 +86,7 @@
     }
 
     CallHead head;
-    BodyLine::Name name;
+    BodyGrantQueue::Id name;
     Instant arrived;
     bool granted = false;
     boost::asio::steady_timer timer; // Runs while it waits for its grant.
@@ -229,22 +229,22 @@
             return this->refuseFrame("read call head", "a call number is used twice");
         if (!head.call.body.empty() || head.bodyBytes == 0 || head.bodyBytes > maximumBodySize)
             return this->refuseFrame("read call head", "the length of its body");
-        BodyLine &bodies = this->server->bodies;
+        BodyGrantQueue &bodies = this->server->bodies;
         const auto call =
-            std::make_shared<CallAhead>(this->server->home.context, std::move(head), bodies.nextName());
+            std::make_shared<CallAhead>(this->server->home.context, std::move(head), bodies.nextId());
         this->noteTaken(callId);
         this->ahead.emplace(callId, call);
         const std::uint32_t priority = call->head.call.priority;
-        if (this->refuseAhead(*call, bodies.expected(call->head.bodyBytes, priority)))
+        if (this->refuseAhead(*call, bodies.expectedWait(call->head.bodyBytes, priority)))
             return;
         const BodyGrantResult answer =
-            bodies.ask(this->server->home.context, call->name, call->head.bodyBytes, priority,
-                       [session = this->weak_from_this(), waiting = std::weak_ptr<CallAhead>(call)] {
-                           const auto self = session.lock();
-                           const auto turn = waiting.lock();
-                           if (self && turn)
-                               self->takeTurn(*turn);
-                       });
+            bodies.request(this->server->home.context, call->name, call->head.bodyBytes, priority,
+                           [session = this->weak_from_this(), waiting = std::weak_ptr<CallAhead>(call)] {
+                               const auto self = session.lock();
+                               const auto turn = waiting.lock();
+                               if (self && turn)
+                                   self->takeTurn(*turn);
+                           });
         switch (answer) {
         case BodyGrantResult::Granted:
             return this->grant(*call);
@@ -258,7 +258,7 @@
     // Its time has gone on while it waited, and so has the gate.
     void takeTurn(CallAhead &call)
     {
-        if (!this->refuseAhead(call, this->server->bodies.carries(call.head.bodyBytes)))
+        if (!this->refuseAhead(call, this->server->bodies.transferTime(call.head.bodyBytes)))
             this->grant(call);
     }
 
@@ -272,8 +272,8 @@
     // A grant whose body does not come, or time that runs out, is nobody's message.
     void watch(const std::shared_ptr<CallAhead> &call)
     {
-        const BodyLine &bodies = this->server->bodies;
-        const Instant late = call->tooLateFrom(bodies.carries(call->head.bodyBytes));
+        const BodyGrantQueue &bodies = this->server->bodies;
+        const Instant late = call->tooLateFrom(bodies.transferTime(call->head.bodyBytes));
         const Instant next = std::min(late, bodies.nextExpiry().value_or(late));
         call->timer.expires_at(std::max(next, SteadyClock::now() + shortestLineCheck));
         call->timer.async_wait([session = this->weak_from_this(), waiting = std::weak_ptr<CallAhead>(call)](
@@ -282,9 +282,9 @@
             const auto call = waiting.lock();
             if (error || !self || !call || call->granted)
                 return;
-            BodyLine &bodies = self->server->bodies;
+            BodyGrantQueue &bodies = self->server->bodies;
             bodies.advance();
-            if (!self->refuseAhead(*call, bodies.carries(call->head.bodyBytes)))
+            if (!self->refuseAhead(*call, bodies.transferTime(call->head.bodyBytes)))
                 self->watch(call);
         });
     }
@@ -297,8 +297,8 @@
 
     void refuseUnsent(const CallAhead &call, std::string_view reason)
     {
-        BodyLine &bodies = this->server->bodies;
-        const Duration retryAfter = bodies.expected(call.head.bodyBytes, call.head.call.priority);
+        BodyGrantQueue &bodies = this->server->bodies;
+        const Duration retryAfter = bodies.expectedWait(call.head.bodyBytes, call.head.call.priority);
         this->server->gate.refuseUnsubmitted(this->server->home, call.callNow(), reason, retryAfter,
                                              this->answerAhead());
     }
@@ -319,7 +319,7 @@
         const std::shared_ptr<CallAhead> call = found->second;
         this->ahead.erase(found);
         call->timer.cancel();
-        this->server->bodies.end(call->name);
+        this->server->bodies.release(call->name);
     }
 
     void takeBody(std::span<const char> payload)
@@ -339,7 +339,7 @@
         const std::uint32_t priority = request.priority;
         // A call of this kind waits for its body's turn before it waits for a slot.
         this->submit(std::move(request), [server = this->server, priority](CallResponse &response) {
-            const Duration line = server->bodies.expected(0, priority);
+            const Duration line = server->bodies.expectedWait(0, priority);
             response.expectedWaitMicroseconds +=
                 static_cast<std::uint64_t>(std::chrono::duration_cast<Microseconds>(line).count());
         });
@@ -383,7 +383,7 @@
         this->ahead.clear();
         for (const auto &[callId, call] : waiting) {
             call->timer.cancel();
-            this->server->bodies.end(call->name);
+            this->server->bodies.release(call->name);
         }
         const auto open = this->calls;
         for (const auto &[callId, call] : open) {
@@ -407,7 +407,7 @@
         if (some == this->unsent)
             return;
         this->unsent = some;
-        this->server->unsent += some ? 1 : -1;
+        this->server->connectionsWithUnsentResponses += some ? 1 : -1;
     }
 
     void send(Bytes frame)
@@ -448,7 +448,7 @@
 
 } // namespace
 
-PeerServer::PeerServer(RequestThread home, LocalGate &gate, BodyLine &bodies, RequestObserver &observer)
+PeerServer::PeerServer(RequestThread home, LocalGate &gate, BodyGrantQueue &bodies, RequestObserver &observer)
     : state(std::make_shared<State>(home, gate, bodies, observer))
 {
 }
@@ -480,15 +480,15 @@
         session->goAway();
 }
 
-std::size_t PeerServer::awaitedCloses() const
+std::size_t PeerServer::pendingCloses() const
 {
     return static_cast<std::size_t>(
         std::ranges::count_if(this->state->sessions, &PeerSession::closeIsAwaited));
 }
 
-std::size_t PeerServer::unsent() const
+std::size_t PeerServer::connectionsWithUnsentResponses() const
 {
-    return this->state->unsent;
+    return this->state->connectionsWithUnsentResponses;
 }
 
 void PeerServer::stopAccepting()
--- a/Services/Node/Peers/PeerServer.h
+++ b/Services/Node/Peers/PeerServer.h
@@ -17,7 +17,7 @@
 class PeerServer
 {
 public:
-    PeerServer(RequestThread home, LocalGate &gate, BodyLine &bodies, RequestObserver &observer);
+    PeerServer(RequestThread home, LocalGate &gate, BodyGrantQueue &bodies, RequestObserver &observer);
     ~PeerServer();
     PeerServer(const PeerServer &) = delete;
     PeerServer &operator=(const PeerServer &) = delete;
@@ -31,10 +31,10 @@
     // On its own thread. Other nodes are told which of their calls have not run, after all answers; what they
     // send from now on is not taken, and they close their connections.
     void goAway();
-    std::size_t awaitedCloses() const; // Of nodes that were answered shortly before it.
+    std::size_t pendingCloses() const; // Of nodes that were answered shortly before it.
 
     // Connections on which answers wait to leave. From any thread.
-    std::size_t unsent() const;
+    std::size_t connectionsWithUnsentResponses() const;
 
     struct State; // Only the .cpp file knows what is in it.
 
--- a/Tests/Node/TestForwardedCall.cpp
+++ b/Tests/Node/TestForwardedCall.cpp
@@ -82,7 +82,7 @@
                    {},
                    this->history,
                    this->observer};
-    BodyLine bodies{BodyGrantSettings{}};
+    BodyGrantQueue bodies{BodyGrantSettings{}};
     Worker worker{this->settings, this->gate, this->bodies, this->observer, {}};
     std::array<FakePeer, 2> peers{FakePeer(this->worker.ioContext()), FakePeer(this->worker.ioContext())};
     std::shared_ptr<ServiceState> service = std::make_shared<ServiceState>(
--- a/Tests/Node/TestPeerLink.cpp
+++ b/Tests/Node/TestPeerLink.cpp
@@ -44,7 +44,7 @@
     {
         PeerLinkSettings settings;
         settings.ownId = "a1";
-        settings.silence = Milliseconds(100);
+        settings.silenceTimeout = Milliseconds(100);
         return settings;
     }
 
@@ -196,8 +196,8 @@
     LinkFixture fixture;
     fixture.peer.answersPings = false;
     fixture.call("slow");
-    fixture.link->waitThroughSilence();
-    const Instant until = SteadyClock::now() + 4 * LinkFixture::settings().silence;
+    fixture.link->disableSilenceTimeout();
+    const Instant until = SteadyClock::now() + 4 * LinkFixture::settings().silenceTimeout;
     fixture.runUntil([&] { return SteadyClock::now() >= until; });
     cr_assert(fixture.answers.empty());
     fixture.peer.answer(0, "late");
--- a/Tests/Node/TestPeerServer.cpp
+++ b/Tests/Node/TestPeerServer.cpp
@@ -132,7 +132,7 @@
         return this->runUntil([&closed] { return closed; });
     }
 
-    BodyLine bodies;
+    BodyGrantQueue bodies;
     PeerServer server;
     std::shared_ptr<PeerLink> link;
 
@@ -192,11 +192,11 @@
     PeerServerFixture fixture;
     fixture.call("slow");
     cr_assert(fixture.runUntil([&] { return fixture.receivedRequests.size() == 1; }));
-    cr_assert(fixture.server.unsent() == 0);
+    cr_assert(fixture.server.connectionsWithUnsentResponses() == 0);
     fixture.exchanges[0]->respond(makeResponse(200, "text/plain", "well"));
     cr_assert(fixture.runUntil([&] { return fixture.gate.inFlight() == 0; }));
-    cr_assert(fixture.server.unsent() == 1);
-    cr_assert(fixture.runUntil([&] { return fixture.server.unsent() == 0; }));
+    cr_assert(fixture.server.connectionsWithUnsentResponses() == 1);
+    cr_assert(fixture.runUntil([&] { return fixture.server.connectionsWithUnsentResponses() == 0; }));
     cr_assert(fixture.runUntil([&] { return fixture.answered("slow"); }));
 }
 
@@ -207,9 +207,9 @@
     fixture.call("slow");
     cr_assert(fixture.runUntil([&] { return fixture.receivedRequests.size() == 1; }));
     fixture.exchanges[0]->respond(makeResponse(200, "text/plain", std::string(512, 'x')));
-    cr_assert(fixture.runUntil([&] { return fixture.server.unsent() == 1; }));
+    cr_assert(fixture.runUntil([&] { return fixture.server.connectionsWithUnsentResponses() == 1; }));
     fixture.link.reset();
-    cr_assert(fixture.runUntil([&] { return fixture.server.unsent() == 0; }));
+    cr_assert(fixture.runUntil([&] { return fixture.server.connectionsWithUnsentResponses() == 0; }));
 }
 
 namespace {
@@ -470,9 +470,9 @@
     sender.send(encodeFrame(FrameType::CallRequest, request));
     cr_assert(fixture.runUntil([&] { return sender.lastCallId.has_value(); }));
     cr_assert(sender.answers.size() == 1 && *sender.lastCallId == 7);
-    cr_assert(fixture.server.awaitedCloses() == 1);
+    cr_assert(fixture.server.pendingCloses() == 1);
     sender.socket.close();
-    cr_assert(fixture.runUntil([&] { return fixture.server.awaitedCloses() == 0; }));
+    cr_assert(fixture.runUntil([&] { return fixture.server.pendingCloses() == 0; }));
     cr_assert(fixture.receivedRequests.size() == 1, "a call was taken after the last word");
 }
 
@@ -484,7 +484,7 @@
     sender.send(encodeFrame(FrameType::Ping, Heartbeat{1}));
     cr_assert(fixture.runUntil([&] { return sender.frames.size() == 1; }));
     fixture.server.goAway();
-    cr_assert(fixture.server.awaitedCloses() == 0);
+    cr_assert(fixture.server.pendingCloses() == 0);
 }
 
 // A granted body is on its way when the node ends: it is refused as not run, and its grant is free.
