--- a/Services/Node/Peers/BodyGrantQueue.cpp
+++ b/Services/Node/Peers/BodyGrantQueue.cpp
@@ -1,4 +1,4 @@
-// Asking, ending, and telling turns to the threads that wait for them.
+// Implements requesting and releasing grants, and notifying the waiting threads.
 #include "BodyGrantQueue.h"
 
 #include <boost/asio/post.hpp>
--- a/Services/Node/Peers/BodyGrantQueue.h
+++ b/Services/Node/Peers/BodyGrantQueue.h
@@ -1,5 +1,5 @@
-// The bodies that other nodes hold for this one, whichever of its threads they asked: BodyGrants behind a
-// lock, and each turn told on the thread that asked for it.
+// Decides when peers may send the bodies that they hold for this node. Thread-safe wrapper around BodyGrants,
+// shared by all request threads; each grant is delivered on the thread that requested it.
 #pragma once
 
 #include <LibDecide/BodyGrants.h>
@@ -23,10 +23,11 @@
     {
     }
 
-    // From any thread.
+    // Callable from any thread.
     bool isLimited() const { return this->grants.isLimited(); }
     Id nextId();
-    // With Queued the hook is called once, on the context, when the body is granted; not after end().
+    // If the result is Queued, the callback runs once, on the context, when the body is granted; never after
+    // release().
     BodyGrantResult request(boost::asio::io_context &context, Id id, std::uint64_t bytes,
                             std::uint32_t priority, GrantCallback onGranted);
     void release(Id id);
@@ -42,9 +43,9 @@
         GrantCallback onGranted;
     };
 
-    void notifyGranted(); // With the lock held.
+    void notifyGranted(); // Requires the lock.
 
-    mutable std::mutex mutex; // Guards what follows; the limit does not change.
+    mutable std::mutex mutex; // Guards the members below; the limit never changes.
     BodyGrants grants;
     std::unordered_map<Id, Waiting> waiting;
     Id lastId = 0;
--- a/Services/Node/Peers/PeerLink.cpp
+++ b/Services/Node/Peers/PeerLink.cpp
@@ -1,4 +1,4 @@
-// Connecting, pairing answers with calls, and finding silent connections.
+// Implements connecting, matching responses to calls and detecting silent connections.
 #include "PeerLink.h"
 
 #include <Node/CallReasons.h>
@@ -11,15 +11,15 @@
 
 namespace {
 
-// Failure: a connection goes silent for good while new ones work, because something between the two ends lost
-// track of it. Symptom: every call on it waits to its deadline. Probing at a quarter of the allowed silence
-// and closing after all of it bounds the wait, and the next call opens a connection that works.
-constexpr int probesPerSilence = 4;
+// A middlebox may drop the state of a connection, which then stays silent for good while new ones work. Every
+// call on it would wait until its deadline. Heartbeats at a quarter of the silence timeout, and closing after
+// all of it, bound the wait; the next call opens a new connection.
+constexpr int probesPerSilenceTimeout = 4;
 
-constexpr Duration firstBackoff = Milliseconds(50);
-constexpr Duration longestBackoff = Milliseconds(2000);
+constexpr Duration initialBackoff = Milliseconds(50);
+constexpr Duration maximumBackoff = Milliseconds(2000);
 
-CallResponse linkFailure(Outcome outcome, std::string_view reason)
+CallResponse makeFailure(Outcome outcome, std::string_view reason)
 {
     CallResponse response;
     response.outcome = outcome;
@@ -32,47 +32,48 @@
 } // namespace
 
 PeerLink::PeerLink(boost::asio::io_context &context, std::string address, PeerLinkSettings settings,
-                   ConnectionLostHook lost)
+                   ConnectionLostHook onConnectionLost)
     : context(context)
     , address(std::move(address))
     , settings(std::move(settings))
-    , lost(std::move(lost))
+    , onConnectionLost(std::move(onConnectionLost))
     , timer(context)
 {
 }
 
-// The connection keeps itself alive while it reads, so it has to be told.
+// The connection keeps itself alive while reading, so it must be closed explicitly.
 PeerLink::~PeerLink()
 {
     if (this->connection)
         this->connection->close(
-            makeError(ErrorKind::Unavailable, "keep connection", this->address, "dropped"));
+            makeError(ErrorKind::Unavailable, "keep connection", this->address, "the link was dropped"));
 }
 
-std::uint64_t PeerLink::call(CallRequest request, ResponseCallback answer)
+std::uint64_t PeerLink::call(CallRequest request, ResponseCallback callback)
 {
     const std::uint64_t callId = this->nextCallId++;
     request.callId = callId;
-    this->usedAt = SteadyClock::now();
-    this->calls[callId].answer = std::move(answer);
+    this->lastUsedAt = SteadyClock::now();
+    this->calls[callId].callback = std::move(callback);
 
     const bool congested =
         this->connection && this->connection->bytesQueued() > this->settings.maximumQueuedBytes;
-    const bool gone = this->connection && this->otherLeaves;
-    const bool unreachable = gone || (!this->connection && !this->connecting && this->usedAt < this->retryAt);
+    const bool goingAway = this->connection && this->peerGoingAway;
+    const bool unreachable =
+        goingAway || (!this->connection && !this->connecting && this->lastUsedAt < this->retryAt);
     if (congested || unreachable) {
         const std::string_view reason = congested ? reasonPeerCongested : reasonPeerUnreachable;
         boost::asio::post(this->context, [self = this->shared_from_this(), callId, reason] {
-            self->give(callId, linkFailure(Outcome::NotRun, reason));
+            self->complete(callId, makeFailure(Outcome::NotRun, reason));
         });
         return callId;
     }
     if (request.body.size() >= minimumGrantedBodySize) {
         Pending &pending = this->calls[callId];
-        pending.held = std::move(request);
-        pending.heldSince = this->usedAt;
-        if (this->connection && this->grants != Grants::NotKnown)
-            this->sendHeld(pending);
+        pending.heldRequest = std::move(request);
+        pending.heldSince = this->lastUsedAt;
+        if (this->connection && this->grantSupport != GrantSupport::Unknown)
+            this->sendHeldRequest(pending);
         else if (!this->connection && !this->connecting)
             this->connect();
         return callId;
@@ -80,10 +81,10 @@
     Bytes frame = encodeFrame(FrameType::CallRequest, request);
     if (this->connection) {
         this->connection->send(std::move(frame));
-        this->expectAnswer(this->usedAt);
+        this->expectReply(this->lastUsedAt);
         return callId;
     }
-    this->calls[callId].unsent = std::move(frame);
+    this->calls[callId].unsentFrame = std::move(frame);
     if (!this->connecting)
         this->connect();
     return callId;
@@ -94,7 +95,7 @@
     const auto found = this->calls.find(callId);
     if (found == this->calls.end())
         return;
-    const bool sent = !found->second.reachedNobody();
+    const bool sent = !found->second.nothingSent();
     this->calls.erase(found);
     if (sent && this->connection)
         this->connection->send(encodeFrame(FrameType::CallCancel, CallCancel{callId}));
@@ -105,12 +106,12 @@
     const auto found = this->calls.find(callId);
     if (found == this->calls.end())
         return;
-    if (found->second.reachedNobody())
-        return this->give(callId, linkFailure(Outcome::NotRun, reasonPeerUnreachable));
-    if (found->second.held) {
+    if (found->second.nothingSent())
+        return this->complete(callId, makeFailure(Outcome::NotRun, reasonPeerUnreachable));
+    if (found->second.heldRequest) {
         if (this->connection)
             this->connection->send(encodeFrame(FrameType::CallCancel, CallCancel{callId}));
-        return this->give(callId, linkFailure(Outcome::NotRun, reasonCancelled));
+        return this->complete(callId, makeFailure(Outcome::NotRun, reasonCancelled));
     }
     if (this->connection)
         this->connection->send(encodeFrame(FrameType::CallWithdraw, CallCancel{callId}));
@@ -123,126 +124,127 @@
                   [self = this->shared_from_this()](Result<boost::asio::ip::tcp::socket> socket) {
                       self->connecting = false;
                       if (socket)
-                          return self->opened(std::move(socket).assume_value());
-                      self->backoff = std::clamp(self->backoff * 2, firstBackoff, longestBackoff);
+                          return self->handleConnected(std::move(socket).assume_value());
+                      self->backoff = std::clamp(self->backoff * 2, initialBackoff, maximumBackoff);
                       self->retryAt = SteadyClock::now() + self->backoff;
-                      self->failUnsent(reasonPeerUnreachable);
+                      self->failUnsentCalls(reasonPeerUnreachable);
                   });
 }
 
-void PeerLink::opened(boost::asio::ip::tcp::socket socket)
+void PeerLink::handleConnected(boost::asio::ip::tcp::socket socket)
 {
     const std::weak_ptr<PeerLink> link = this->weak_from_this();
     FramedConnectionHooks hooks;
     hooks.onFrame = [link](FrameType type, std::span<const char> payload) {
         if (const auto self = link.lock())
-            self->takeFrame(type, payload);
+            self->handleFrame(type, payload);
     };
     hooks.onClosed = [link](const Error &reason) {
         if (const auto self = link.lock())
-            self->closed(reason);
+            self->handleClosed(reason);
     };
     this->backoff = Duration::zero();
-    this->unansweredSince.reset();
+    this->awaitingReplySince.reset();
     this->connection =
         std::make_shared<FramedConnection>(std::move(socket), maximumFrameSize, std::move(hooks));
     this->connection->start();
-    this->grants = Grants::NotKnown;
-    this->otherLeaves = false;
+    this->grantSupport = GrantSupport::Unknown;
+    this->peerGoingAway = false;
     this->connection->send(encodeFrame(FrameType::Hello, HelloMessage{this->settings.ownId}));
-    // A node that grants no bodies answers this first.
-    this->connection->send(encodeFrame(FrameType::Ping, Heartbeat{++this->pings}));
+    // A node that does not grant bodies replies to this one first, which shows that no Hello will come.
+    this->connection->send(encodeFrame(FrameType::Ping, Heartbeat{++this->lastPingSequence}));
     for (auto &[callId, pending] : this->calls) {
-        if (!pending.unsent.empty())
-            this->connection->send(std::move(pending.unsent));
-        pending.unsent.clear();
+        if (!pending.unsentFrame.empty())
+            this->connection->send(std::move(pending.unsentFrame));
+        pending.unsentFrame.clear();
     }
-    this->expectAnswer(SteadyClock::now());
+    this->expectReply(SteadyClock::now());
 }
 
-// A call that was handed to the connection whole may have run; one that was not has not.
-void PeerLink::closed(const Error &reason)
+// Calls that were sent completely may have run; the others have not.
+void PeerLink::handleClosed(const Error &reason)
 {
     if (!this->calls.empty())
-        this->lost(reason);
+        this->onConnectionLost(reason);
     this->connection.reset();
     std::unordered_map<std::uint64_t, Pending> ended;
     ended.swap(this->calls);
     for (auto &[callId, pending] : ended) {
-        const Outcome outcome = pending.provenNotRun() ? Outcome::NotRun : Outcome::Unknown;
-        pending.answer(linkFailure(outcome, reasonPeerLost));
+        const Outcome outcome = pending.provablyNotRun() ? Outcome::NotRun : Outcome::Unknown;
+        pending.callback(makeFailure(outcome, reasonPeerLost));
     }
 }
 
-void PeerLink::failUnsent(std::string_view reason)
+void PeerLink::failUnsentCalls(std::string_view reason)
 {
-    std::vector<ResponseCallback> hooks;
+    std::vector<ResponseCallback> callbacks;
     for (auto entry = this->calls.begin(); entry != this->calls.end();) {
-        if (!entry->second.reachedNobody()) {
+        if (!entry->second.nothingSent()) {
             ++entry;
             continue;
         }
-        hooks.push_back(std::move(entry->second.answer));
+        callbacks.push_back(std::move(entry->second.callback));
         entry = this->calls.erase(entry);
     }
-    for (const ResponseCallback &hook : hooks)
-        hook(linkFailure(Outcome::NotRun, reason));
+    for (const ResponseCallback &callback : callbacks)
+        callback(makeFailure(Outcome::NotRun, reason));
 }
 
-void PeerLink::takeFrame(FrameType type, std::span<const char> payload)
+void PeerLink::handleFrame(FrameType type, std::span<const char> payload)
 {
-    this->unansweredSince.reset();
+    this->awaitingReplySince.reset();
     if (type == FrameType::Hello)
-        return this->takeHello(payload);
+        return this->handleHello(payload);
     if (type == FrameType::GoAway)
-        return this->takeGoAway(payload);
-    this->learnGrants(Grants::No);
+        return this->handleGoAway(payload);
+    this->setGrantSupport(GrantSupport::No);
     switch (type) {
     case FrameType::Pong:
         return;
     case FrameType::CallGrant:
-        return this->takeGrant(payload);
+        return this->handleGrant(payload);
     case FrameType::CallResponse:
-        return this->takeAnswer(payload);
+        return this->handleResponse(payload);
     default:
         this->connection->close(
             makeError(ErrorKind::InvalidInput, "read peer frame", this->address, "unexpected type"));
     }
 }
 
-void PeerLink::takeHello(std::span<const char> payload)
+void PeerLink::handleHello(std::span<const char> payload)
 {
     const Result<HelloMessage> hello = decode<HelloMessage>(payload, "read hello", this->address);
     if (!hello)
         return this->connection->close(hello.error());
-    this->learnGrants(hello.value().protocol >= bodyGrantProtocolVersion ? Grants::Yes : Grants::No);
+    this->setGrantSupport(hello.value().protocol >= bodyGrantProtocolVersion ? GrantSupport::Yes
+                                                                             : GrantSupport::No);
 }
 
-// What the other side says first decides; its Hello comes before all else when it grants bodies.
-void PeerLink::learnGrants(Grants learnt)
+// The peer's first frame decides: a peer that grants bodies sends its Hello before anything else.
+void PeerLink::setGrantSupport(GrantSupport support)
 {
-    if (this->grants != Grants::NotKnown)
+    if (this->grantSupport != GrantSupport::Unknown)
         return;
-    this->grants = learnt;
+    this->grantSupport = support;
     for (auto &[callId, pending] : this->calls) {
-        if (pending.held)
-            this->sendHeld(pending);
+        if (pending.heldRequest)
+            this->sendHeldRequest(pending);
     }
 }
 
-void PeerLink::sendHeld(Pending &pending)
+void PeerLink::sendHeldRequest(Pending &pending)
 {
     const Instant now = SteadyClock::now();
-    CallRequest &call = *pending.held;
+    CallRequest &call = *pending.heldRequest;
     const auto waited =
         static_cast<std::uint64_t>(std::chrono::duration_cast<Microseconds>(now - pending.heldSince).count());
     call.remainingMicroseconds -= std::min(call.remainingMicroseconds, waited);
-    // At least one: a call whose target has passed is not one without a target.
+    // At least 1, since 0 means that the call has no target.
     if (call.remainingTargetMicroseconds > 0)
         call.remainingTargetMicroseconds -= std::min(call.remainingTargetMicroseconds - 1, waited);
-    if (this->grants == Grants::No) {
+    if (this->grantSupport == GrantSupport::No) {
         this->connection->send(encodeFrame(FrameType::CallRequest, call));
-        pending.held.reset();
+        pending.heldRequest.reset();
     } else {
         CallHead head;
         std::string body = std::move(call.body);
@@ -253,72 +255,72 @@
         pending.headSent = true;
         this->connection->send(encodeFrame(FrameType::CallHead, head));
     }
-    this->expectAnswer(now);
+    this->expectReply(now);
 }
 
-void PeerLink::takeGrant(std::span<const char> payload)
+void PeerLink::handleGrant(std::span<const char> payload)
 {
     const Result<CallGrant> grant = decode<CallGrant>(payload, "read grant", this->address);
     if (!grant)
         return this->connection->close(grant.error());
     const auto found = this->calls.find(grant.value().callId);
     if (found == this->calls.end())
-        return; // It was cancelled meanwhile.
+        return; // Cancelled meanwhile.
     Pending &pending = found->second;
-    if (!pending.headSent || !pending.held)
+    if (!pending.headSent || !pending.heldRequest)
         return this->connection->close(
-            makeError(ErrorKind::InvalidInput, "read grant", this->address, "no body waits for it"));
-    const CallBody body{found->first, std::move(pending.held->body)};
-    pending.held.reset();
+            makeError(ErrorKind::InvalidInput, "read grant", this->address, "no call awaits this grant"));
+    const CallBody body{found->first, std::move(pending.heldRequest->body)};
+    pending.heldRequest.reset();
     this->connection->send(encodeFrame(FrameType::CallBody, body));
-    this->expectAnswer(SteadyClock::now());
+    this->expectReply(SteadyClock::now());
 }
 
-// Failure: a call crosses the end of the node that it is sent to. Symptom: its caller is told that nobody
-// knows whether it ran, and may not send it again.
-void PeerLink::takeGoAway(std::span<const char> payload)
+// A call may be in transit while its target node shuts down. GoAway tells which calls the peer has not
+// accepted; without it their outcome would be unknown and callers could not retry them.
+void PeerLink::handleGoAway(std::span<const char> payload)
 {
-    const Result<GoAway> said = decode<GoAway>(payload, "read go-away", this->address);
-    if (!said)
-        return this->connection->close(said.error());
-    this->otherLeaves = true;
-    std::vector<std::uint64_t> notTaken;
+    const Result<GoAway> goAway = decode<GoAway>(payload, "read go-away", this->address);
+    if (!goAway)
+        return this->connection->close(goAway.error());
+    this->peerGoingAway = true;
+    std::vector<std::uint64_t> notAccepted;
     for (const auto &[callId, pending] : this->calls) {
-        if (callId > said.value().lastCallId || pending.held)
-            notTaken.push_back(callId);
+        if (callId > goAway.value().lastCallId || pending.heldRequest)
+            notAccepted.push_back(callId);
     }
-    for (const std::uint64_t callId : notTaken)
-        this->give(callId, linkFailure(Outcome::NotRun, reasonPeerLeaving));
+    for (const std::uint64_t callId : notAccepted)
+        this->complete(callId, makeFailure(Outcome::NotRun, reasonPeerLeaving));
     if (this->calls.empty() && this->connection)
         this->connection->close(
-            makeError(ErrorKind::Unavailable, "keep connection", this->address, "the other node leaves"));
+            makeError(ErrorKind::Unavailable, "keep connection", this->address, "the peer is shutting down"));
 }
 
-void PeerLink::takeAnswer(std::span<const char> payload)
+void PeerLink::handleResponse(std::span<const char> payload)
 {
-    Result<CallResponse> response = decode<CallResponse>(payload, "read call answer", this->address);
+    Result<CallResponse> response = decode<CallResponse>(payload, "read call response", this->address);
     if (!response)
         return this->connection->close(response.error());
     const std::uint64_t callId = response.value().callId;
-    this->give(callId, std::move(response).assume_value());
+    this->complete(callId, std::move(response).assume_value());
 }
 
-void PeerLink::give(std::uint64_t callId, CallResponse response)
+void PeerLink::complete(std::uint64_t callId, CallResponse response)
 {
     const auto found = this->calls.find(callId);
     if (found == this->calls.end())
-        return; // It was cancelled meanwhile.
-    const ResponseCallback hook = std::move(found->second.answer);
+        return; // Cancelled meanwhile.
+    const ResponseCallback callback = std::move(found->second.callback);
     this->calls.erase(found);
-    hook(std::move(response));
+    callback(std::move(response));
 }
 
-// The clock of a silence starts with the first unanswered sending and not with each: calls whose own
-// deadlines are shorter than the silence would otherwise put its end off for ever.
-void PeerLink::expectAnswer(Instant now)
+// The silence timeout counts from the first frame without a reply, not from the latest one. Otherwise a
+// steady flow of calls with deadlines shorter than the timeout would postpone it forever.
+void PeerLink::expectReply(Instant now)
 {
-    if (!this->unansweredSince)
-        this->unansweredSince = now;
+    if (!this->awaitingReplySince)
+        this->awaitingReplySince = now;
     this->armHeartbeat();
 }
 
@@ -327,7 +329,7 @@
     if (this->timerArmed)
         return;
     this->timerArmed = true;
-    const Duration interval = this->settings.silenceTimeout / probesPerSilence;
+    const Duration interval = this->settings.silenceTimeout / probesPerSilenceTimeout;
     this->heartbeatDue = SteadyClock::now() + interval;
     this->timer.expires_at(this->heartbeatDue);
     this->timer.async_wait([link = this->weak_from_this()](const boost::system::error_code &error) {
@@ -344,19 +346,19 @@
     if (!this->connection)
         return;
     const Instant now = SteadyClock::now();
-    // This process itself was held up: answers may lie unread, so the silence is counted anew.
-    if (this->unansweredSince && now - this->heartbeatDue > this->settings.silenceTimeout / 2)
-        this->unansweredSince = now;
-    if (this->isSilent(now) && !this->waitsThroughSilence)
+    // This process was stalled and replies may be waiting unread, so the silence timeout starts anew.
+    if (this->awaitingReplySince && now - this->heartbeatDue > this->settings.silenceTimeout / 2)
+        this->awaitingReplySince = now;
+    if (this->isSilent(now) && !this->silenceTimeoutDisabled)
         return this->connection->close(
-            makeError(ErrorKind::Timeout, "wait for heartbeat", this->address, "silent"));
-    if (!this->calls.empty() || this->unansweredSince) {
-        this->connection->send(encodeFrame(FrameType::Ping, Heartbeat{++this->pings}));
-        return this->expectAnswer(now);
+            makeError(ErrorKind::Timeout, "wait for heartbeat", this->address, "silence timeout"));
+    if (!this->calls.empty() || this->awaitingReplySince) {
+        this->connection->send(encodeFrame(FrameType::Ping, Heartbeat{++this->lastPingSequence}));
+        return this->expectReply(now);
     }
-    if (now - this->usedAt > this->settings.idleTimeout)
+    if (now - this->lastUsedAt > this->settings.idleTimeout)
         return this->connection->close(
-            makeError(ErrorKind::Unavailable, "keep connection", this->address, "not used"));
+            makeError(ErrorKind::Unavailable, "keep connection", this->address, "idle timeout"));
     this->armHeartbeat();
 }
 
--- a/Services/Node/Peers/PeerLink.h
+++ b/Services/Node/Peers/PeerLink.h
@@ -1,5 +1,5 @@
-// This thread's connection to another node, on which many calls are under way at a time. Answers are paired
-// with calls by number, so they may come late and in any order.
+// A request thread's connection to another node, which multiplexes many calls. Responses are matched to calls
+// by id, so they may arrive late and in any order.
 #pragma once
 
 #include <LibCore/Time.h>
@@ -22,96 +22,100 @@
 {
     std::string ownId;
     Milliseconds connectTimeout{500};
-    Milliseconds silenceTimeout{
-        1000};                       // With calls under way and nothing heard for this long, it is given up.
-    Milliseconds idleTimeout{60000}; // Without calls it is closed after this.
-    std::size_t maximumQueuedBytes = std::size_t{8} << 20; // More than this unsent, and calls are refused.
+    // Closes a connection that awaits a reply and receives nothing for this long.
+    Milliseconds silenceTimeout{1000};
+    Milliseconds idleTimeout{60000};                       // Closes a connection without calls.
+    std::size_t maximumQueuedBytes = std::size_t{8} << 20; // Calls are refused above it.
 };
 
-// Belongs to one io_context that one thread runs.
+// Used only on the one thread of its io_context.
 class PeerLink : public std::enable_shared_from_this<PeerLink>
 {
 public:
     using ResponseCallback = std::function<void(CallResponse)>;
-    using ConnectionLostHook = std::function<void(const Error &)>; // The connection broke with calls on it.
+    // Runs when the connection is lost with calls pending.
+    using ConnectionLostHook = std::function<void(const Error &)>;
 
     PeerLink(boost::asio::io_context &context, std::string address, PeerLinkSettings settings,
-             ConnectionLostHook lost);
+             ConnectionLostHook onConnectionLost);
     ~PeerLink();
     PeerLink(const PeerLink &) = delete;
     PeerLink &operator=(const PeerLink &) = delete;
 
-    // The answer comes exactly once, never from inside this call. Returns the number for cancel().
-    std::uint64_t call(CallRequest request, ResponseCallback answer);
+    // The callback runs exactly once, never from inside this function. Returns the id for cancel().
+    std::uint64_t call(CallRequest request, ResponseCallback callback);
 
-    // Tells the other side that nobody waits any more, and forgets the answer hook.
+    // Cancels the call at the peer and drops its callback.
     void cancel(std::uint64_t callId);
 
-    // Asks for the answer now when the call has not begun; its hook is called as for any other.
+    // Cancels the call at the peer only if it has not started. Its callback still runs.
     void withdraw(std::uint64_t callId);
 
-    // Silence is no reason to give up a call any more.
-    void disableSilenceTimeout() { this->waitsThroughSilence = true; }
+    // From now on, a silent connection stays open until its calls reach their deadlines.
+    void disableSilenceTimeout() { this->silenceTimeoutDisabled = true; }
 
-    // Something was sent that must be answered, and nothing was heard for longer than allowed.
+    // Whether a response is due and nothing has been received for longer than the silence timeout.
     bool isSilent(Instant now) const
     {
-        return this->unansweredSince && now - *this->unansweredSince > this->settings.silenceTimeout;
+        return this->awaitingReplySince && now - *this->awaitingReplySince > this->settings.silenceTimeout;
     }
 
-    bool unusedSince(Instant before) const { return this->calls.empty() && this->usedAt < before; }
+    bool unusedSince(Instant before) const { return this->calls.empty() && this->lastUsedAt < before; }
 
 private:
     struct Pending
     {
-        ResponseCallback answer;
-        Bytes unsent; // The first frame while there is no connection; empty once it may have left.
-        std::optional<CallRequest> held; // Its body has not left, so it has not run.
+        ResponseCallback callback;
+        Bytes unsentFrame; // The first frame while not connected; empty once it may have been sent.
+        std::optional<CallRequest> heldRequest; // Its body has not been sent, so it has not run.
         Instant heldSince;
         bool headSent = false;
 
-        bool reachedNobody() const { return !this->unsent.empty() || (this->held && !this->headSent); }
-        bool provenNotRun() const { return !this->unsent.empty() || this->held; }
+        bool nothingSent() const
+        {
+            return !this->unsentFrame.empty() || (this->heldRequest && !this->headSent);
+        }
+        bool provablyNotRun() const { return !this->unsentFrame.empty() || this->heldRequest; }
     };
 
-    // Whether the other side grants bodies.
-    enum class Grants : std::uint8_t { NotKnown, Yes, No };
+    // Whether the peer grants bodies.
+    enum class GrantSupport : std::uint8_t { Unknown, Yes, No };
 
     void connect();
-    void opened(boost::asio::ip::tcp::socket socket);
-    void closed(const Error &reason);
-    void takeFrame(FrameType type, std::span<const char> payload);
-    void takeHello(std::span<const char> payload);
-    void takeGrant(std::span<const char> payload);
-    void takeAnswer(std::span<const char> payload);
-    void learnGrants(Grants learnt);
-    void sendHeld(Pending &pending);
-    void takeGoAway(std::span<const char> payload);
-    void failUnsent(std::string_view reason);
-    void give(std::uint64_t callId, CallResponse response);
-    void expectAnswer(Instant now);
+    void handleConnected(boost::asio::ip::tcp::socket socket);
+    void handleClosed(const Error &reason);
+    void handleFrame(FrameType type, std::span<const char> payload);
+    void handleHello(std::span<const char> payload);
+    void handleGrant(std::span<const char> payload);
+    void handleResponse(std::span<const char> payload);
+    void setGrantSupport(GrantSupport support);
+    void sendHeldRequest(Pending &pending);
+    void handleGoAway(std::span<const char> payload);
+    void failUnsentCalls(std::string_view reason);
+    void complete(std::uint64_t callId, CallResponse response);
+    void expectReply(Instant now);
     void armHeartbeat();
     void heartbeat();
 
     boost::asio::io_context &context;
     const std::string address;
     const PeerLinkSettings settings;
-    const ConnectionLostHook lost;
-    std::shared_ptr<FramedConnection> connection; // Null while there is none.
+    const ConnectionLostHook onConnectionLost;
+    std::shared_ptr<FramedConnection> connection; // Null while not connected.
     std::unordered_map<std::uint64_t, Pending> calls;
     std::uint64_t nextCallId = 1;
     boost::asio::steady_timer timer;
-    Grants grants = Grants::NotKnown;
+    GrantSupport grantSupport = GrantSupport::Unknown;
     bool connecting = false;
-    bool otherLeaves = false; // Said on this connection; it takes no more calls.
+    bool peerGoingAway = false; // GoAway was received; the peer accepts no more calls.
     bool timerArmed = false;
-    bool waitsThroughSilence = false;
-    // The first sending that expects an answer since anything was received.
-    std::optional<Instant> unansweredSince;
+    bool silenceTimeoutDisabled = false;
+    // When the first frame that expects a reply was sent since anything was received.
+    std::optional<Instant> awaitingReplySince;
     Instant heartbeatDue;
-    Instant usedAt;
-    std::uint64_t pings = 0;
-    Instant retryAt = Instant::min(); // No connection is tried before this.
+    Instant lastUsedAt;
+    std::uint64_t lastPingSequence = 0;
+    Instant retryAt = Instant::min(); // Backoff: no connection attempt before this.
     Duration backoff{};
 };
 
--- a/Services/Node/Peers/PeerServer.cpp
+++ b/Services/Node/Peers/PeerServer.cpp
@@ -1,4 +1,4 @@
-// One session for each connection of another node.
+// Implements the sessions that serve other nodes' connections.
 #include "PeerServer.h"
 
 #include <Node/CallReasons.h>
@@ -46,50 +46,51 @@
 
 namespace {
 
-// Bounds how often a call that waits for its body looks at the line.
-constexpr Duration shortestLineCheck = Milliseconds(1);
+// Bounds how often a call that awaits a grant checks the queue.
+constexpr Duration minimumGrantCheckInterval = Milliseconds(1);
 
-// An answer that left earlier has been read by now, or its path is lost.
-constexpr Duration answerTravelTime = Milliseconds(1000);
+// A response sent longer ago has been read by the peer, or its path is broken.
+constexpr Duration maximumResponseTransitTime = Milliseconds(1000);
 
-// A call whose body is still with its sender.
-struct CallAhead
+// A call whose body is still at its sender.
+struct PendingBodyCall
 {
-    CallAhead(boost::asio::io_context &context, CallHead head, BodyGrantQueue::Id name)
+    PendingBodyCall(boost::asio::io_context &context, CallHead head, BodyGrantQueue::Id id)
         : head(std::move(head))
-        , name(name)
+        , id(id)
         , arrived(SteadyClock::now())
         , timer(context)
     {
     }
 
-    // With the time that is left of it by now.
-    CallRequest callNow() const
+    // The call with its remaining times reduced by the time since it arrived.
+    CallRequest remainingCall() const
     {
         CallRequest call = this->head.call;
         const auto waited = static_cast<std::uint64_t>(
             std::chrono::duration_cast<Microseconds>(SteadyClock::now() - this->arrived).count());
         call.remainingMicroseconds -= std::min(call.remainingMicroseconds, waited);
-        // At least one: a call whose target has passed is not one without a target.
+        // At least 1, since 0 means that the call has no target.
         if (call.remainingTargetMicroseconds > 0)
             call.remainingTargetMicroseconds -= std::min(call.remainingTargetMicroseconds - 1, waited);
         return call;
     }
 
-    // The next moment from which on a body that takes so long is too late for something.
-    Instant tooLateFrom(Duration bodyTakes) const
+    // From then on a body with this transfer time misses the target, or the deadline if late responses are
+    // accepted.
+    Instant latestGrantTime(Duration transferTime) const
     {
-        const Instant start = this->arrived - bodyTakes;
+        const Instant start = this->arrived - transferTime;
         const Instant target = start + Microseconds(this->head.call.remainingTargetMicroseconds);
         const bool bound = this->head.call.remainingTargetMicroseconds > 0 && !this->head.call.lateAccepted;
         return bound ? target : start + Microseconds(this->head.call.remainingMicroseconds);
     }
 
     CallHead head;
-    BodyGrantQueue::Id name;
+    BodyGrantQueue::Id id;
     Instant arrived;
     bool granted = false;
-    boost::asio::steady_timer timer; // Runs while it waits for its grant.
+    boost::asio::steady_timer timer; // Runs while the call awaits its grant.
 };
 
 class PeerSession : public std::enable_shared_from_this<PeerSession>
@@ -104,10 +105,12 @@
     {
         FramedConnectionHooks hooks;
         hooks.onFrame = [self = this->shared_from_this()](FrameType type, std::span<const char> payload) {
-            self->takeFrame(type, payload);
+            self->handleFrame(type, payload);
         };
-        hooks.onClosed = [self = this->shared_from_this()](const Error &reason) { self->closed(reason); };
-        hooks.onDrained = [self = this->shared_from_this()] { self->setUnsent(false); };
+        hooks.onClosed = [self = this->shared_from_this()](const Error &reason) {
+            self->handleClosed(reason);
+        };
+        hooks.onDrained = [self = this->shared_from_this()] { self->setHasUnsentResponses(false); };
         const auto opened =
             std::make_shared<FramedConnection>(std::move(socket), maximumFrameSize, std::move(hooks));
         this->connection = opened;
@@ -116,50 +119,51 @@
         opened->start();
     }
 
-    // The other node closes once it has read all answers; a reset by what it still sends would cut them
-    // short.
+    // The peer closes after it has read all responses. If this side closed while the peer still sends, a TCP
+    // reset could destroy them.
     void goAway()
     {
-        this->leaving = true;
-        this->awaitsClose = this->answeredAt && SteadyClock::now() - *this->answeredAt < answerTravelTime;
-        const auto waiting = this->ahead;
+        this->goingAway = true;
+        this->awaitsPeerClose =
+            this->lastResponseAt && SteadyClock::now() - *this->lastResponseAt < maximumResponseTransitTime;
+        const auto waiting = this->pendingBodyCalls;
         for (const auto &[callId, call] : waiting)
-            this->refuseUnsent(*call, refusalReasonNames.name(RefusalReason::Draining));
+            this->refusePendingBodyCall(*call, refusalReasonNames.name(RefusalReason::Draining));
         this->send(encodeFrame(FrameType::GoAway, GoAway{this->lastCallId}));
         if (const auto open = this->connection.lock())
             open->shutdownSend();
     }
 
-    bool closeIsAwaited() const { return this->awaitsClose; }
+    bool isAwaitingClose() const { return this->awaitsPeerClose; }
 
 private:
-    void takeFrame(FrameType type, std::span<const char> payload)
+    void handleFrame(FrameType type, std::span<const char> payload)
     {
-        if (this->leaving)
+        if (this->goingAway)
             return;
         switch (type) {
         case FrameType::Hello:
-            return this->takeHello(payload);
+            return this->handleHello(payload);
         case FrameType::Ping:
-            return this->answerPing(payload);
+            return this->handlePing(payload);
         case FrameType::CallRequest:
-            return this->takeCall(payload);
+            return this->handleCall(payload);
         case FrameType::CallHead:
-            return this->takeHead(payload);
+            return this->handleCallHead(payload);
         case FrameType::CallBody:
-            return this->takeBody(payload);
+            return this->handleBody(payload);
         case FrameType::CallCancel:
-            return this->takeCancel(payload, &LocalGate::cancel);
+            return this->handleCancel(payload, &LocalGate::cancel);
         case FrameType::CallWithdraw:
-            return this->takeCancel(payload, &LocalGate::refuseIfQueued);
+            return this->handleCancel(payload, &LocalGate::refuseIfQueued);
         default:
             this->close(makeError(ErrorKind::InvalidInput, "read peer frame", "", "unexpected type"));
         }
     }
 
-    // A node of an older version takes no Hello in answer. A node whose link is not told has nothing to grant
-    // by: bodies come with their calls.
-    void takeHello(std::span<const char> payload)
+    // Older peers do not accept a Hello in reply. Without a configured link rate this node grants no bodies:
+    // they arrive with their calls.
+    void handleHello(std::span<const char> payload)
     {
         const Result<HelloMessage> hello = decode<HelloMessage>(payload, "read hello", this->peer);
         if (!hello)
@@ -168,7 +172,7 @@
             this->send(encodeFrame(FrameType::Hello, HelloMessage{}));
     }
 
-    void answerPing(std::span<const char> payload)
+    void handlePing(std::span<const char> payload)
     {
         const Result<Heartbeat> ping = decode<Heartbeat>(payload, "read ping", this->peer);
         if (!ping)
@@ -176,185 +180,187 @@
         this->send(encodeFrame(FrameType::Pong, ping.value()));
     }
 
-    void takeCall(std::span<const char> payload)
+    void handleCall(std::span<const char> payload)
     {
         Result<CallRequest> request = decode<CallRequest>(payload, "read call", this->peer);
         if (!request)
             return this->close(request.error());
-        if (this->isKnown(request.value().callId))
-            return this->refuseFrame("read call", "a call number is used twice");
+        if (this->isDuplicate(request.value().callId))
+            return this->closeForProtocolError("read call", "duplicate call id");
         this->submit(std::move(request).assume_value(), {});
     }
 
-    void noteTaken(std::uint64_t callId) { this->lastCallId = std::max(this->lastCallId, callId); }
+    void recordCallId(std::uint64_t callId) { this->lastCallId = std::max(this->lastCallId, callId); }
 
-    bool isKnown(std::uint64_t callId) const
+    bool isDuplicate(std::uint64_t callId) const
     {
-        return this->calls.contains(callId) || this->ahead.contains(callId);
+        return this->calls.contains(callId) || this->pendingBodyCalls.contains(callId);
     }
 
-    void refuseFrame(const std::string &operation, const std::string &problem)
+    void closeForProtocolError(const std::string &operation, const std::string &problem)
     {
         this->close(makeError(ErrorKind::InvalidInput, operation, "", problem));
     }
 
-    // `told` is given the answer before it leaves.
-    void submit(CallRequest request, std::function<void(CallResponse &)> told)
+    // `beforeSend` may modify the response before it is sent.
+    void submit(CallRequest request, std::function<void(CallResponse &)> beforeSend)
     {
         const std::uint64_t callId = request.callId;
-        this->noteTaken(callId);
+        this->recordCallId(callId);
         this->calls.emplace(callId, nullptr);
         const auto call = this->server->gate.submit(
             this->server->home, std::move(request),
-            [self = this->shared_from_this(), told = std::move(told)](CallResponse response) {
+            [self = this->shared_from_this(), beforeSend = std::move(beforeSend)](CallResponse response) {
                 self->calls.erase(response.callId);
-                if (told)
-                    told(response);
-                self->answer(response);
+                if (beforeSend)
+                    beforeSend(response);
+                self->sendResponse(response);
             });
-        // It may have been answered inside submit.
+        // submit() may already have completed the call.
         const auto found = this->calls.find(callId);
         if (found != this->calls.end())
             found->second = call;
     }
 
-    void takeHead(std::span<const char> payload)
+    void handleCallHead(std::span<const char> payload)
     {
-        Result<CallHead> taken = decode<CallHead>(payload, "read call head", this->peer);
-        if (!taken)
-            return this->close(taken.error());
-        CallHead head = std::move(taken).assume_value();
+        Result<CallHead> decoded = decode<CallHead>(payload, "read call head", this->peer);
+        if (!decoded)
+            return this->close(decoded.error());
+        CallHead head = std::move(decoded).assume_value();
         const std::uint64_t callId = head.call.callId;
-        if (this->isKnown(callId))
-            return this->refuseFrame("read call head", "a call number is used twice");
+        if (this->isDuplicate(callId))
+            return this->closeForProtocolError("read call head", "duplicate call id");
         if (!head.call.body.empty() || head.bodyBytes == 0 || head.bodyBytes > maximumBodySize)
-            return this->refuseFrame("read call head", "the length of its body");
+            return this->closeForProtocolError("read call head", "invalid body length");
         BodyGrantQueue &bodies = this->server->bodies;
         const auto call =
-            std::make_shared<CallAhead>(this->server->home.context, std::move(head), bodies.nextId());
-        this->noteTaken(callId);
-        this->ahead.emplace(callId, call);
+            std::make_shared<PendingBodyCall>(this->server->home.context, std::move(head), bodies.nextId());
+        this->recordCallId(callId);
+        this->pendingBodyCalls.emplace(callId, call);
         const std::uint32_t priority = call->head.call.priority;
-        if (this->refuseAhead(*call, bodies.expectedWait(call->head.bodyBytes, priority)))
+        if (this->refuseIfLate(*call, bodies.expectedWait(call->head.bodyBytes, priority)))
             return;
-        const BodyGrantResult answer =
-            bodies.request(this->server->home.context, call->name, call->head.bodyBytes, priority,
-                           [session = this->weak_from_this(), waiting = std::weak_ptr<CallAhead>(call)] {
-                               const auto self = session.lock();
-                               const auto turn = waiting.lock();
-                               if (self && turn)
-                                   self->takeTurn(*turn);
-                           });
-        switch (answer) {
+        const BodyGrantResult result = bodies.request(
+            this->server->home.context, call->id, call->head.bodyBytes, priority,
+            [session = this->weak_from_this(), waiting = std::weak_ptr<PendingBodyCall>(call)] {
+                const auto self = session.lock();
+                const auto call = waiting.lock();
+                if (self && call)
+                    self->handleGranted(*call);
+            });
+        switch (result) {
         case BodyGrantResult::Granted:
             return this->grant(*call);
         case BodyGrantResult::Queued:
-            return this->watch(call);
+            return this->awaitGrant(call);
         case BodyGrantResult::QueueFull:
-            return this->refuseUnsent(*call, reasonPeerCongested);
+            return this->refusePendingBodyCall(*call, reasonPeerCongested);
         }
     }
 
-    // Its time has gone on while it waited, and so has the gate.
-    void takeTurn(CallAhead &call)
+    // Time has passed and the gate's state has changed since the call was queued, so it is checked again.
+    void handleGranted(PendingBodyCall &call)
     {
-        if (!this->refuseAhead(call, this->server->bodies.transferTime(call.head.bodyBytes)))
+        if (!this->refuseIfLate(call, this->server->bodies.transferTime(call.head.bodyBytes)))
             this->grant(call);
     }
 
-    void grant(CallAhead &call)
+    void grant(PendingBodyCall &call)
     {
         call.granted = true;
         call.timer.cancel();
         this->send(encodeFrame(FrameType::CallGrant, CallGrant{call.head.call.callId}));
     }
 
-    // A grant whose body does not come, or time that runs out, is nobody's message.
-    void watch(const std::shared_ptr<CallAhead> &call)
+    // No message announces an expired grant or a missed deadline, so a timer checks for both.
+    void awaitGrant(const std::shared_ptr<PendingBodyCall> &call)
     {
         const BodyGrantQueue &bodies = this->server->bodies;
-        const Instant late = call->tooLateFrom(bodies.transferTime(call->head.bodyBytes));
+        const Instant late = call->latestGrantTime(bodies.transferTime(call->head.bodyBytes));
         const Instant next = std::min(late, bodies.nextExpiry().value_or(late));
-        call->timer.expires_at(std::max(next, SteadyClock::now() + shortestLineCheck));
-        call->timer.async_wait([session = this->weak_from_this(), waiting = std::weak_ptr<CallAhead>(call)](
-                                   const boost::system::error_code &error) {
-            const auto self = session.lock();
-            const auto call = waiting.lock();
-            if (error || !self || !call || call->granted)
-                return;
-            BodyGrantQueue &bodies = self->server->bodies;
-            bodies.advance();
-            if (!self->refuseAhead(*call, bodies.transferTime(call->head.bodyBytes)))
-                self->watch(call);
-        });
+        call->timer.expires_at(std::max(next, SteadyClock::now() + minimumGrantCheckInterval));
+        call->timer.async_wait(
+            [session = this->weak_from_this(),
+             waiting = std::weak_ptr<PendingBodyCall>(call)](const boost::system::error_code &error) {
+                const auto self = session.lock();
+                const auto call = waiting.lock();
+                if (error || !self || !call || call->granted)
+                    return;
+                BodyGrantQueue &bodies = self->server->bodies;
+                bodies.advance();
+                if (!self->refuseIfLate(*call, bodies.transferTime(call->head.bodyBytes)))
+                    self->awaitGrant(call);
+            });
     }
 
-    bool refuseAhead(const CallAhead &call, Duration bodyTakes)
+    bool refuseIfLate(const PendingBodyCall &call, Duration transferTime)
     {
-        return this->server->gate.tryRefuseBeforeBody(this->server->home, call.callNow(), bodyTakes,
-                                                      this->answerAhead());
+        return this->server->gate.tryRefuseBeforeBody(this->server->home, call.remainingCall(), transferTime,
+                                                      this->pendingBodyCallback());
     }
 
-    void refuseUnsent(const CallAhead &call, std::string_view reason)
+    void refusePendingBodyCall(const PendingBodyCall &call, std::string_view reason)
     {
         BodyGrantQueue &bodies = this->server->bodies;
         const Duration retryAfter = bodies.expectedWait(call.head.bodyBytes, call.head.call.priority);
-        this->server->gate.refuseUnsubmitted(this->server->home, call.callNow(), reason, retryAfter,
-                                             this->answerAhead());
+        this->server->gate.refuseUnsubmitted(this->server->home, call.remainingCall(), reason, retryAfter,
+                                             this->pendingBodyCallback());
     }
 
-    LocalGate::AnswerHook answerAhead()
+    LocalGate::AnswerHook pendingBodyCallback()
     {
         return [self = this->shared_from_this()](CallResponse response) {
-            self->endAhead(response.callId);
-            self->answer(response);
+            self->removePendingBodyCall(response.callId);
+            self->sendResponse(response);
         };
     }
 
-    void endAhead(std::uint64_t callId)
+    void removePendingBodyCall(std::uint64_t callId)
     {
-        const auto found = this->ahead.find(callId);
-        if (found == this->ahead.end())
+        const auto found = this->pendingBodyCalls.find(callId);
+        if (found == this->pendingBodyCalls.end())
             return;
-        const std::shared_ptr<CallAhead> call = found->second;
-        this->ahead.erase(found);
+        const std::shared_ptr<PendingBodyCall> call = found->second;
+        this->pendingBodyCalls.erase(found);
         call->timer.cancel();
-        this->server->bodies.release(call->name);
+        this->server->bodies.release(call->id);
     }
 
-    void takeBody(std::span<const char> payload)
+    void handleBody(std::span<const char> payload)
     {
         Result<CallBody> body = decode<CallBody>(payload, "read call body", this->peer);
         if (!body)
             return this->close(body.error());
-        const auto found = this->ahead.find(body.value().callId);
-        if (found == this->ahead.end() || !found->second->granted)
-            return this->refuseFrame("read call body", "it was not granted");
-        const std::shared_ptr<CallAhead> call = found->second;
+        const auto found = this->pendingBodyCalls.find(body.value().callId);
+        if (found == this->pendingBodyCalls.end() || !found->second->granted)
+            return this->closeForProtocolError("read call body", "the body was not granted");
+        const std::shared_ptr<PendingBodyCall> call = found->second;
         if (body.value().body.size() != call->head.bodyBytes)
-            return this->refuseFrame("read call body", "not of the length that its head says");
-        this->endAhead(body.value().callId);
-        CallRequest request = call->callNow();
+            return this->closeForProtocolError("read call body", "the body length differs from the head");
+        this->removePendingBodyCall(body.value().callId);
+        CallRequest request = call->remainingCall();
         request.body = std::move(body.value().body);
         const std::uint32_t priority = request.priority;
-        // A call of this kind waits for its body's turn before it waits for a slot.
+        // A call of this kind waits for a grant before it waits for a slot, so the reported wait includes
+        // both.
         this->submit(std::move(request), [server = this->server, priority](CallResponse &response) {
-            const Duration line = server->bodies.expectedWait(0, priority);
+            const Duration grantWait = server->bodies.expectedWait(0, priority);
             response.expectedWaitMicroseconds +=
-                static_cast<std::uint64_t>(std::chrono::duration_cast<Microseconds>(line).count());
+                static_cast<std::uint64_t>(std::chrono::duration_cast<Microseconds>(grantWait).count());
         });
     }
 
     using Cancel = void (LocalGate::*)(const std::shared_ptr<GateCall> &);
 
-    void takeCancel(std::span<const char> payload, Cancel cancelCall)
+    void handleCancel(std::span<const char> payload, Cancel cancelCall)
     {
         const Result<CallCancel> cancel = decode<CallCancel>(payload, "read cancel", this->peer);
         if (!cancel)
             return this->close(cancel.error());
-        const auto waiting = this->ahead.find(cancel.value().callId);
-        if (waiting != this->ahead.end())
-            return this->takeBack(waiting->second, cancelCall == &LocalGate::refuseIfQueued);
+        const auto waiting = this->pendingBodyCalls.find(cancel.value().callId);
+        if (waiting != this->pendingBodyCalls.end())
+            return this->cancelPendingBodyCall(waiting->second, cancelCall == &LocalGate::refuseIfQueued);
         const auto found = this->calls.find(cancel.value().callId);
         if (found == this->calls.end())
             return;
@@ -362,28 +368,28 @@
         (this->server->gate.*cancelCall)(call);
     }
 
-    // A body that was granted may be on its way, and then the gate answers.
-    void takeBack(const std::shared_ptr<CallAhead> &call, bool wantsAnswer)
+    // A granted body may be in transit; the gate then responds to the call.
+    void cancelPendingBodyCall(const std::shared_ptr<PendingBodyCall> &call, bool wantsResponse)
     {
-        if (!wantsAnswer)
-            this->endAhead(call->head.call.callId);
+        if (!wantsResponse)
+            this->removePendingBodyCall(call->head.call.callId);
         else if (!call->granted)
-            this->refuseUnsent(*call, reasonCancelled);
+            this->refusePendingBodyCall(*call, reasonCancelled);
     }
 
-    // The node that sent the calls cannot be answered any more: what waits is taken out, what may be cut off
-    // is.
-    void closed(const Error &reason)
+    // The peer can no longer receive responses: queued calls are removed, and running ones are cancelled
+    // where that is safe.
+    void handleClosed(const Error &reason)
     {
         this->server->sessions.erase(this);
-        this->setUnsent(false);
+        this->setHasUnsentResponses(false);
         if (reason.kind == ErrorKind::InvalidInput || reason.kind == ErrorKind::TooLarge)
             this->server->observer.peerFrameInvalid(this->peer, reason);
-        const auto waiting = std::move(this->ahead);
-        this->ahead.clear();
+        const auto waiting = std::move(this->pendingBodyCalls);
+        this->pendingBodyCalls.clear();
         for (const auto &[callId, call] : waiting) {
             call->timer.cancel();
-            this->server->bodies.release(call->name);
+            this->server->bodies.release(call->id);
         }
         const auto open = this->calls;
         for (const auto &[callId, call] : open) {
@@ -392,22 +398,22 @@
         }
     }
 
-    void answer(const CallResponse &response)
+    void sendResponse(const CallResponse &response)
     {
         const auto open = this->connection.lock();
         if (!open || !open->isOpen())
             return;
-        this->setUnsent(true);
-        this->answeredAt = SteadyClock::now();
+        this->setHasUnsentResponses(true);
+        this->lastResponseAt = SteadyClock::now();
         open->send(encodeFrame(FrameType::CallResponse, response));
     }
 
-    void setUnsent(bool some)
+    void setHasUnsentResponses(bool value)
     {
-        if (some == this->unsent)
+        if (value == this->hasUnsentResponses)
             return;
-        this->unsent = some;
-        this->server->connectionsWithUnsentResponses += some ? 1 : -1;
+        this->hasUnsentResponses = value;
+        this->server->connectionsWithUnsentResponses += value ? 1 : -1;
     }
 
     void send(Bytes frame)
@@ -423,16 +429,16 @@
     }
 
     std::shared_ptr<PeerServer::State> server;
-    std::weak_ptr<FramedConnection>
-        connection; // It keeps itself alive while it reads, and its hooks keep this.
+    // Weak: the connection keeps itself alive while reading, and its hooks keep this session alive.
+    std::weak_ptr<FramedConnection> connection;
     std::string peer;
-    std::unordered_map<std::uint64_t, std::shared_ptr<GateCall>> calls; // Not answered yet.
-    std::unordered_map<std::uint64_t, std::shared_ptr<CallAhead>> ahead;
-    std::uint64_t lastCallId = 0; // The highest that was taken.
-    bool unsent = false;          // Answers wait to leave.
-    bool leaving = false;         // Nothing is taken any more.
-    bool awaitsClose = false;     // The other side may not have read its last answer.
-    std::optional<Instant> answeredAt;
+    std::unordered_map<std::uint64_t, std::shared_ptr<GateCall>> calls; // Awaiting a response.
+    std::unordered_map<std::uint64_t, std::shared_ptr<PendingBodyCall>> pendingBodyCalls;
+    std::uint64_t lastCallId = 0;    // The highest id accepted.
+    bool hasUnsentResponses = false; // Some responses have not been sent.
+    bool goingAway = false;          // No further frames are handled.
+    bool awaitsPeerClose = false;    // The peer may not have read its last response.
+    std::optional<Instant> lastResponseAt;
 };
 
 void acceptNext(const std::shared_ptr<PeerServer::State> &state)
@@ -483,7 +489,7 @@
 std::size_t PeerServer::pendingCloses() const
 {
     return static_cast<std::size_t>(
-        std::ranges::count_if(this->state->sessions, &PeerSession::closeIsAwaited));
+        std::ranges::count_if(this->state->sessions, &PeerSession::isAwaitingClose));
 }
 
 std::size_t PeerServer::connectionsWithUnsentResponses() const
--- a/Services/Node/Peers/PeerServer.h
+++ b/Services/Node/Peers/PeerServer.h
@@ -1,4 +1,4 @@
-// Takes other nodes' calls for the upstream beside this one, on one request thread.
+// Accepts calls from other nodes for the local upstream, on one request thread.
 #pragma once
 
 #include <Node/Gate/LocalGate.h>
@@ -22,24 +22,25 @@
     PeerServer(const PeerServer &) = delete;
     PeerServer &operator=(const PeerServer &) = delete;
 
-    // Several threads listen on the same address; the kernel spreads the connections.
-    // Port 0 takes any free port.
+    // Several threads may listen on the same address; the kernel distributes the connections. Port 0 selects
+    // any free port.
     Result<void> listen(const std::string &address);
-    std::string address() const; // Where it listens.
+    std::string address() const; // The listening address.
     void stopAccepting();
 
-    // On its own thread. Other nodes are told which of their calls have not run, after all answers; what they
-    // send from now on is not taken, and they close their connections.
+    // Call on the server's thread. Sends each peer, after all responses, which of its calls have not run.
+    // Later frames are ignored, and the peers close their connections.
     void goAway();
-    std::size_t pendingCloses() const; // Of nodes that were answered shortly before it.
+    std::size_t
+    pendingCloses() const; // Peers that were sent a response shortly before goAway() and have not closed yet.
 
-    // Connections on which answers wait to leave. From any thread.
+    // Callable from any thread.
     std::size_t connectionsWithUnsentResponses() const;
 
-    struct State; // Only the .cpp file knows what is in it.
+    struct State; // Defined in the .cpp file.
 
 private:
-    std::shared_ptr<State> state; // Outlives the server while connections end.
+    std::shared_ptr<State> state; // Shared with open connections, which may outlive the server.
 };
 
 } // namespace Sagecrank
--- a/Tests/Node/FakePeer.h
+++ b/Tests/Node/FakePeer.h
@@ -1,4 +1,4 @@
-// The other node of a peer link: it collects calls, and the test answers them.
+// A fake node at the other end of a peer link. It records calls, and the test responds to them.
 #pragma once
 
 #include <LibNet/FramedConnection.h>
@@ -13,7 +13,7 @@
 
 namespace Sagecrank {
 
-// The other node: accepts connections and collects calls; the test answers them.
+// Accepts connections and records calls; the test responds to them.
 class FakePeer
 {
 public:
@@ -30,7 +30,7 @@
         this->answerOn(this->connections.size() - 1, index, body, status);
     }
 
-    // On an earlier connection, where the call came.
+    // Responds on an earlier connection, the one that the call arrived on.
     void answerOn(std::size_t connection, std::size_t index, const std::string &body,
                   std::uint32_t status = 200)
     {
@@ -62,8 +62,8 @@
 
     std::vector<CallRequest> calls;
     std::vector<std::shared_ptr<FramedConnection>> connections;
-    bool answersPings = true;
-    bool grantsBodies = false; // Says so in answer to a Hello.
+    bool repliesToPings = true;
+    bool grantsBodies = false; // Replies to a Hello.
     std::vector<CallHead> heads;
     std::vector<CallBody> bodies;
     int cancels = 0;
@@ -78,16 +78,17 @@
                     return;
                 const auto connection = std::make_shared<FramedConnection>(
                     std::move(socket), maximumFrameSize,
-                    FramedConnectionHooks{
-                        [this](FrameType type, std::span<const char> payload) { this->take(type, payload); },
-                        [](const Error &) {}});
+                    FramedConnectionHooks{[this](FrameType type, std::span<const char> payload) {
+                                              this->handleFrame(type, payload);
+                                          },
+                                          [](const Error &) {}});
                 this->connections.push_back(connection);
                 connection->start();
                 this->accept();
             });
     }
 
-    void take(FrameType type, std::span<const char> payload)
+    void handleFrame(FrameType type, std::span<const char> payload)
     {
         if (type == FrameType::CallRequest)
             this->calls.push_back(decode<CallRequest>(payload, "test", "").value());
@@ -101,7 +102,7 @@
             ++this->cancels;
         if (type == FrameType::CallWithdraw)
             ++this->withdrawals;
-        if (type == FrameType::Ping && this->answersPings)
+        if (type == FrameType::Ping && this->repliesToPings)
             this->connections.back()->send(
                 encodeFrame(FrameType::Pong, decode<Heartbeat>(payload, "test", "").value()));
     }
--- a/Tests/Node/TestForwardedCall.cpp
+++ b/Tests/Node/TestForwardedCall.cpp
@@ -342,7 +342,7 @@
     constexpr Milliseconds silence(100);
     ForwardFixture fixture(silence, 1);
     FakePeer &peer = fixture.peers[0];
-    peer.answersPings = false;
+    peer.repliesToPings = false;
     fixture.call(ForwardFixture::plan(false));
     const std::shared_ptr<ForwardedCall> slow = fixture.forwarded;
     cr_assert(fixture.runUntil([&] { return peer.calls.size() == 1; }));
--- a/Tests/Node/TestPeerLink.cpp
+++ b/Tests/Node/TestPeerLink.cpp
@@ -1,4 +1,4 @@
-// The connection to another node when the other side is late, out of order, silent, or gone.
+// The connection to another node when the peer responds late or out of order, is silent, or fails.
 #include "FakePeer.h"
 
 #include <Node/Peers/PeerLink.h>
@@ -63,8 +63,8 @@
 
 } // namespace
 
-// Three callers share one connection and the answers come in any order. Each must get its own.
-TABLE_TEST(peerLink, eachCallGetsItsOwnAnswer, orderRows)
+// Three calls share one connection and are answered in any order. Each must get its own response.
+TABLE_TEST(peerLink, matchesResponsesToCalls, orderRows)
 {
     LinkFixture fixture;
     for (const char *name : {"0", "1", "2"})
@@ -78,17 +78,16 @@
     cr_assert(fixture.peer.connections.size() == 1);
 }
 
-// Something between the two ends loses track of the connection: it stays open and silent while new ones work.
-// The call on it ends as unknown after the allowed silence, and the next call goes through on a new
-// connection.
+// A middlebox drops the state of a connection, which stays open and silent while new ones work. The call on
+// it ends as unknown after the silence timeout, and the next call succeeds on a new connection.
 Test(peerLink, silentConnectionIsReplaced)
 {
     LinkFixture fixture;
-    fixture.peer.answersPings = false;
+    fixture.peer.repliesToPings = false;
     fixture.call("lost");
     cr_assert(fixture.runUntil([&] { return fixture.answers.contains("lost"); }));
     cr_assert(fixture.answers["lost"].outcome == Outcome::Unknown);
-    fixture.peer.answersPings = true;
+    fixture.peer.repliesToPings = true;
     fixture.call("next");
     cr_assert(fixture.runUntil([&] { return fixture.peer.calls.size() == 2; }));
     fixture.peer.answer(1, "next");
@@ -97,13 +96,12 @@
     cr_assert(fixture.peer.connections.size() == 2);
 }
 
-// The same, when every call gives up before the allowed silence is over and a new one follows at once. A
-// clock that starts anew with each call would never find the silence, and every call would go into the dead
-// connection.
-Test(peerLink, silenceIsFoundUnderShortDeadlines)
+// The same when every call is cancelled before the silence timeout and a new one follows at once. A timer
+// that restarted with each call would never expire, and every call would be sent on the dead connection.
+Test(peerLink, silenceIsDetectedWithShortDeadlines)
 {
     LinkFixture fixture;
-    fixture.peer.answersPings = false;
+    fixture.peer.repliesToPings = false;
     int calls = 0;
     const auto callAndGiveUp = [&] {
         const std::uint64_t id = fixture.call("short");
@@ -119,9 +117,9 @@
     cr_assert(replaced);
 }
 
-// A slow upstream: no answer for much longer than the allowed silence, but the other node answers the probes.
-// The connection is well and the call on it must not be given up.
-Test(peerLink, slowIsNotSilent)
+// A slow upstream takes much longer than the silence timeout, but the peer replies to heartbeats. The
+// connection is healthy and its call must not be ended.
+Test(peerLink, slowUpstreamIsNotSilence)
 {
     LinkFixture fixture;
     fixture.call("slow");
@@ -133,7 +131,7 @@
     cr_assert(fixture.answers["slow"].body == "late");
 }
 
-// Nobody listens there. No byte left, so the call did not run and may go elsewhere.
+// Nothing listens at the address. No byte was sent, so the call did not run and may be retried elsewhere.
 Test(peerLink, unreachableIsNotRun)
 {
     LinkFixture fixture;
@@ -142,13 +140,13 @@
     fixture.call("one");
     cr_assert(fixture.runUntil([&] { return fixture.answers.contains("one"); }));
     cr_assert(fixture.answers["one"].outcome == Outcome::NotRun);
-    // Within the backoff the next one is refused without a try, and as well not run.
+    // Within the backoff the next call is refused without a connection attempt, also as not run.
     fixture.call("two");
     cr_assert(fixture.runUntil([&] { return fixture.answers.contains("two"); }));
     cr_assert(fixture.answers["two"].outcome == Outcome::NotRun);
 }
 
-// The other node dies with a call on it that it had been sent: nobody knows whether it ran.
+// The peer dies after it was sent a call, so the call's outcome is unknown.
 Test(peerLink, lostConnectionIsUnknown)
 {
     LinkFixture fixture;
@@ -159,8 +157,8 @@
     cr_assert(fixture.answers["one"].outcome == Outcome::Unknown);
 }
 
-// The caller gives up: the other node is told, and a late answer finds nobody.
-Test(peerLink, cancelIsPassedOnAndALateAnswerIsDropped)
+// A cancelled call is cancelled at the peer, and a late response to it is dropped.
+Test(peerLink, cancelIsForwardedAndALateResponseIsDropped)
 {
     LinkFixture fixture;
     const std::uint64_t id = fixture.call("one");
@@ -175,8 +173,8 @@
     cr_assert(!fixture.answers.contains("one"));
 }
 
-// A node that has not called another one for long drops what it knows of it. The connection has to go with
-// it: it keeps itself alive while it reads, and hosts that are replaced all day would leave one behind each.
+// A node drops the link to a node that it has not called for long. The connection, which keeps itself alive
+// while reading, must be closed with it; otherwise each replaced host would leak one.
 Test(peerLink, droppedLinkClosesItsConnection)
 {
     LinkFixture fixture;
@@ -190,11 +188,11 @@
     cr_assert(fixture.runUntil([&] { return !fixture.peer.connections[0]->isOpen(); }));
 }
 
-// A path is full while this node ends. An upstream at work behind it must not be answered for.
-Test(peerLink, aNodeThatEndsWaitsThroughSilence)
+// A path is congested while this node shuts down. A call that may be running behind it must not be ended.
+Test(peerLink, silenceTimeoutIsDisabledDuringShutdown)
 {
     LinkFixture fixture;
-    fixture.peer.answersPings = false;
+    fixture.peer.repliesToPings = false;
     fixture.call("slow");
     fixture.link->disableSilenceTimeout();
     const Instant until = SteadyClock::now() + 4 * LinkFixture::settings().silenceTimeout;
@@ -205,8 +203,8 @@
     cr_assert(fixture.answers["slow"].body == "late");
 }
 
-// The other node grants bodies: a large one stays here until then and a small call beside it does not wait.
-Test(peerLink, aLargeBodyLeavesWhenItIsGranted)
+// The peer grants bodies: a large body is sent only after its grant, while a small call does not wait.
+Test(peerLink, aLargeBodyIsSentAfterItsGrant)
 {
     LinkFixture fixture;
     fixture.peer.grantsBodies = true;
@@ -223,8 +221,8 @@
     cr_assert(fixture.peer.bodies[0].body == std::string(minimumGrantedBodySize, 'x'));
 }
 
-// The other node is of a version that knows no grants: the call goes there whole, as it always did.
-Test(peerLink, aNodeThatGrantsNothingIsSentTheWholeCall)
+// The peer runs an older version without grants, so calls are sent whole.
+Test(peerLink, aPeerWithoutGrantsIsSentTheWholeCall)
 {
     LinkFixture fixture;
     fixture.call("large", minimumGrantedBodySize);
@@ -250,7 +248,7 @@
 
 } // namespace
 
-// The other node dies with a large call on it.
+// The peer dies with a large call pending.
 TABLE_TEST(peerLink, aLostLargeCallIsUnknownOnlyAfterItsGrant, lostRows)
 {
     LinkFixture fixture;
@@ -266,7 +264,8 @@
     cr_assert(fixture.answers["large"].outcome == row.outcome, "%s", row.what);
 }
 
-// The caller gives up while its body waits, and the grant crosses the word of it: the body does not leave.
+// The caller gives up while its body awaits a grant, and the grant crosses the cancellation. The body is not
+// sent.
 Test(peerLink, aCancelledCallSendsNoBody)
 {
     LinkFixture fixture;
@@ -283,8 +282,8 @@
     cr_assert(fixture.peer.bodies.empty());
 }
 
-// This node is about to end: what waits for its grant is told at once that it has not run.
-Test(peerLink, aWithdrawnCallThatWaitsForItsGrantHasNotRun)
+// During shutdown, a withdrawn call that awaits its grant is reported as not run at once.
+Test(peerLink, aWithdrawnCallThatAwaitsItsGrantHasNotRun)
 {
     LinkFixture fixture;
     fixture.peer.grantsBodies = true;
@@ -295,9 +294,8 @@
     cr_assert(fixture.runUntil([&] { return fixture.peer.cancels == 1; }));
 }
 
-// A grant for a call that has no body to send comes from a broken peer; the connection ends with the call on
-// it.
-Test(peerLink, aGrantThatNoBodyWaitsForClosesTheConnection)
+// A grant for a call without a pending body is a protocol error: the connection is closed and its call ends.
+Test(peerLink, anUnexpectedGrantClosesTheConnection)
 {
     LinkFixture fixture;
     const std::uint64_t id = fixture.call("small");
@@ -323,8 +321,9 @@
 
 } // namespace
 
-// A call crosses the end of the node that it is sent to, and its caller is told that it may have run.
-TABLE_TEST(peerLink, aCallThatCrossesTheEndOfItsNodeHasNotRun, goAwayRows)
+// A call is in transit while its target node shuts down. Without the id in GoAway, its caller would be told
+// that it may have run.
+TABLE_TEST(peerLink, aCallAfterTheLastAcceptedOneHasNotRun, goAwayRows)
 {
     LinkFixture fixture;
     fixture.call("first");
@@ -332,19 +331,19 @@
     fixture.call("second");
     cr_assert(fixture.runUntil([&] { return fixture.peer.calls.size() == 2; }));
     fixture.peer.answer(0, "well");
-    FramedConnection &end = *fixture.peer.connections[0];
-    end.send(encodeFrame(FrameType::GoAway, GoAway{row.lastCallId}));
-    end.shutdownSend();
+    FramedConnection &peerEnd = *fixture.peer.connections[0];
+    peerEnd.send(encodeFrame(FrameType::GoAway, GoAway{row.lastCallId}));
+    peerEnd.shutdownSend();
     cr_assert(fixture.runUntil([&] { return fixture.answers.size() == 2; }));
     cr_assert(fixture.answers["first"].body == "well", "%s", row.what);
     const CallResponse &second = fixture.answers["second"];
     cr_assert(second.outcome == (row.secondHasNotRun ? Outcome::NotRun : Outcome::Unknown), "%s", row.what);
     cr_assert(second.retryAfterMilliseconds > 0);
-    cr_assert(fixture.runUntil([&] { return !end.isOpen(); }), "its end was not closed");
+    cr_assert(fixture.runUntil([&] { return !peerEnd.isOpen(); }), "the connection was not closed");
 }
 
-// A call that waits for its grant, or comes after the last word, must not be sent to a node that ends.
-Test(peerLink, aNodeThatEndsIsSentNothingMore)
+// After GoAway, neither a new call nor the body of one that awaits its grant may be sent to the peer.
+Test(peerLink, nothingIsSentAfterGoAway)
 {
     LinkFixture fixture;
     fixture.peer.grantsBodies = true;
--- a/Tests/Node/TestPeerServer.cpp
+++ b/Tests/Node/TestPeerServer.cpp
@@ -1,4 +1,4 @@
-// What other nodes send over TCP: calls, and bytes that are none.
+// The server for other nodes: calls, body grants, malformed input and shutdown.
 #include "GateFixture.h"
 
 #include <Node/Peers/PeerLink.h>
@@ -22,7 +22,7 @@
     Bytes bytes;
 };
 
-Bytes frameOf(FrameType type, const std::vector<unsigned char> &payload)
+Bytes makeFrame(FrameType type, const std::vector<unsigned char> &payload)
 {
     Bytes bytes(frameHeaderSize + payload.size());
     const auto length = static_cast<std::uint32_t>(payload.size());
@@ -32,7 +32,7 @@
     return bytes;
 }
 
-Bytes twoCallsOfOneNumber()
+Bytes callsWithDuplicateId()
 {
     CallRequest request;
     request.callId = 1;
@@ -44,7 +44,7 @@
     return bytes;
 }
 
-CallHead headOf(std::uint64_t callId, std::uint64_t bodyBytes)
+CallHead makeHead(std::uint64_t callId, std::uint64_t bodyBytes)
 {
     CallHead head;
     head.call.callId = callId;
@@ -56,9 +56,9 @@
     return head;
 }
 
-Bytes headAndBodies(std::uint64_t headBytes, const std::vector<CallBody> &bodies)
+Bytes makeHeadAndBodies(std::uint64_t headBytes, const std::vector<CallBody> &bodies)
 {
-    Bytes bytes = encodeFrame(FrameType::CallHead, headOf(1, headBytes));
+    Bytes bytes = encodeFrame(FrameType::CallHead, makeHead(1, headBytes));
     for (const CallBody &body : bodies) {
         const Bytes frame = encodeFrame(FrameType::CallBody, body);
         bytes.insert(bytes.end(), frame.begin(), frame.end());
@@ -68,20 +68,20 @@
 
 const HostileRow hostileRows[] = {
     {"a frame of four gigabytes", {'\xff', '\xff', '\xff', '\xff', 2}},
-    {"an unknown type", frameOf(static_cast<FrameType>(200), {1, 2, 3})},
-    {"an answer where a call belongs", frameOf(FrameType::CallResponse, {})},
-    {"a call that ends too early", frameOf(FrameType::CallRequest, {1, 2, 3})},
+    {"an unknown type", makeFrame(static_cast<FrameType>(200), {1, 2, 3})},
+    {"an answer where a call belongs", makeFrame(FrameType::CallResponse, {})},
+    {"a call that ends too early", makeFrame(FrameType::CallRequest, {1, 2, 3})},
     {"a call with a string of two gigabytes",
-     frameOf(FrameType::CallRequest, {1, 0, 0, 0, 0, 0, 0, 0, 255, 255, 255, 127})},
-    {"a call number that is used twice", twoCallsOfOneNumber()},
-    {"a hello that ends too early", frameOf(FrameType::Hello, {1, 2, 3})},
+     makeFrame(FrameType::CallRequest, {1, 0, 0, 0, 0, 0, 0, 0, 255, 255, 255, 127})},
+    {"a call number that is used twice", callsWithDuplicateId()},
+    {"a hello that ends too early", makeFrame(FrameType::Hello, {1, 2, 3})},
     {"a body without a head", encodeFrame(FrameType::CallBody, CallBody{1, "x"})},
-    {"a body of another call", headAndBodies(1, {{2, "x"}})},
-    {"a body twice", headAndBodies(1, {{1, "x"}, {1, "x"}})},
-    {"a body longer than its head says", headAndBodies(1, {{1, "xx"}})},
-    {"a body shorter than its head says", headAndBodies(2, {{1, "x"}})},
-    {"a head of no body", headAndBodies(0, {})},
-    {"a head of a body that no call may have", headAndBodies(maximumBodySize + 1, {})},
+    {"a body of another call", makeHeadAndBodies(1, {{2, "x"}})},
+    {"a body twice", makeHeadAndBodies(1, {{1, "x"}, {1, "x"}})},
+    {"a body longer than its head says", makeHeadAndBodies(1, {{1, "xx"}})},
+    {"a body shorter than its head says", makeHeadAndBodies(2, {{1, "x"}})},
+    {"a head of no body", makeHeadAndBodies(0, {})},
+    {"a head of a body that no call may have", makeHeadAndBodies(maximumBodySize + 1, {})},
     {"a grant where a call belongs", encodeFrame(FrameType::CallGrant, CallGrant{1})},
     {"HTTP", {'G', 'E', 'T', ' ', '/', ' ', 'H', 'T', 'T', 'P', '/', '1', '.', '1', '\r', '\n', '\r', '\n'}},
 };
@@ -119,16 +119,16 @@
         boost::asio::write(socket, boost::asio::buffer(bytes));
         std::array<char, 64> buffer{};
         bool closed = false;
-        // A grant may come before the end.
-        std::function<void()> readOn = [&] {
+        // A grant may arrive before the connection is closed.
+        std::function<void()> readNext = [&] {
             socket.async_read_some(boost::asio::buffer(buffer),
                                    [&](const boost::system::error_code &error, std::size_t) {
                                        closed = static_cast<bool>(error);
                                        if (!closed)
-                                           readOn();
+                                           readNext();
                                    });
         };
-        readOn();
+        readNext();
         return this->runUntil([&closed] { return closed; });
     }
 
@@ -147,9 +147,9 @@
 
 } // namespace
 
-// A broken or hostile peer sends something that is no call. Its connection is closed; a call that another
-// node has under way at the time is answered as ever.
-TABLE_TEST(peerServer, hostileBytesCloseOnlyTheirOwnConnection, hostileRows)
+// A faulty or hostile peer sends malformed input. Its connection is closed; a call in progress from another
+// node is not affected.
+TABLE_TEST(peerServer, malformedInputClosesOnlyItsOwnConnection, hostileRows)
 {
     PeerServerFixture fixture;
     fixture.announce(4, UpstreamCondition::Ready);
@@ -163,10 +163,10 @@
     cr_assert(fixture.answers["good"].body == "well", "%s", row.what);
 }
 
-// A node dies while its idempotent call runs here and another one waits. Nobody can be answered any more: the
-// waiting call is taken out and the running one cut off, so that the slot is free for callers who are still
-// there.
-Test(peerServer, callsOfADeadNodeFreeTheirPlaces)
+// A node dies while one of its idempotent calls runs here and another is queued. Their responses can no
+// longer be delivered, so the queued call is removed and the running one cancelled, which frees the slot for
+// other callers.
+Test(peerServer, callsOfADeadNodeAreCancelled)
 {
     PeerServerFixture fixture;
     for (const char *name : {"running", "waiting"}) {
@@ -186,8 +186,9 @@
     cr_assert(fixture.receivedRequests.size() == 1);
 }
 
-// A node ends while an answer to another node waits to leave, because it counts what was answered as sent.
-Test(peerServer, anAnswerIsCountedUntilItHasLeft)
+// A response counts as unsent until it has been written. Counting it as sent earlier would let the process
+// exit with a response still queued.
+Test(peerServer, aResponseCountsAsUnsentUntilItHasBeenWritten)
 {
     PeerServerFixture fixture;
     fixture.call("slow");
@@ -200,8 +201,8 @@
     cr_assert(fixture.runUntil([&] { return fixture.answered("slow"); }));
 }
 
-// The same count when the other node goes before it has read the answer.
-Test(peerServer, aNodeThatWentIsOwedNoAnswer)
+// The same counter when the peer disconnects before it has read the response.
+Test(peerServer, aDisconnectClearsUnsentResponses)
 {
     PeerServerFixture fixture;
     fixture.call("slow");
@@ -214,8 +215,8 @@
 
 namespace {
 
-// As much may be under way as one of the large calls below has.
-BodyGrantSettings narrowLink()
+// Allows one of the large bodies below in transit at a time.
+BodyGrantSettings slowLinkSettings()
 {
     BodyGrantSettings grants;
     grants.inFlightTime = Milliseconds(300);
@@ -235,11 +236,11 @@
     return request;
 }
 
-// A node that sends heads and sends the bodies when the test says so.
-class Sender
+// A raw connection of another node; the test sends frames and inspects the replies.
+class RawPeer
 {
 public:
-    explicit Sender(PeerServerFixture &fixture)
+    explicit RawPeer(PeerServerFixture &fixture)
         : socket(fixture.context)
     {
         this->socket.connect(parseTcpEndpoint(fixture.server.address()).value());
@@ -252,24 +253,25 @@
     std::vector<FrameType> frames;
     std::vector<std::uint64_t> granted;
     std::vector<CallResponse> answers;
-    std::optional<std::uint64_t> lastCallId; // Of its last word.
+    std::optional<std::uint64_t> goAwayCallId; // From the GoAway frame.
 
 private:
     void read()
     {
-        this->socket.async_read_some(
-            boost::asio::buffer(this->buffer),
-            [this](const boost::system::error_code &error, std::size_t size) {
-                if (error)
-                    return;
-                (void)this->reader.feed(
-                    {this->buffer.data(), size},
-                    [this](FrameType type, std::span<const char> payload) { this->take(type, payload); });
-                this->read();
-            });
+        this->socket.async_read_some(boost::asio::buffer(this->buffer),
+                                     [this](const boost::system::error_code &error, std::size_t size) {
+                                         if (error)
+                                             return;
+                                         (void)this->reader.feed(
+                                             {this->buffer.data(), size},
+                                             [this](FrameType type, std::span<const char> payload) {
+                                                 this->handleFrame(type, payload);
+                                             });
+                                         this->read();
+                                     });
     }
 
-    void take(FrameType type, std::span<const char> payload)
+    void handleFrame(FrameType type, std::span<const char> payload)
     {
         this->frames.push_back(type);
         if (type == FrameType::CallGrant)
@@ -277,7 +279,7 @@
         if (type == FrameType::CallResponse)
             this->answers.push_back(decode<CallResponse>(payload, "test", "").value());
         if (type == FrameType::GoAway)
-            this->lastCallId = decode<GoAway>(payload, "test", "").value().lastCallId;
+            this->goAwayCallId = decode<GoAway>(payload, "test", "").value().lastCallId;
     }
 
     std::array<char, 4096> buffer{};
@@ -295,8 +297,8 @@
 };
 
 const HelloRow helloRows[] = {
-    {"an older version knows no Hello in answer", 1, narrowLink(), {FrameType::Pong}},
-    {"this version", bodyGrantProtocolVersion, narrowLink(), {FrameType::Hello, FrameType::Pong}},
+    {"an older version knows no Hello in answer", 1, slowLinkSettings(), {FrameType::Pong}},
+    {"this version", bodyGrantProtocolVersion, slowLinkSettings(), {FrameType::Hello, FrameType::Pong}},
     {"a link that is not told", bodyGrantProtocolVersion, {}, {FrameType::Pong}},
 };
 
@@ -306,17 +308,17 @@
     BodyGrantSettings grants;
 };
 
-const LinkRow linkRows[] = {{"a link that is not told", {}}, {"a narrow link", narrowLink()}};
+const LinkRow linkRows[] = {{"a link that is not told", {}}, {"a narrow link", slowLinkSettings()}};
 
 using Granted = std::vector<std::uint64_t>;
 
-struct FreedRow
+struct ReleaseRow
 {
     const char *what;
     Bytes frame;
 };
 
-const FreedRow freedRows[] = {
+const ReleaseRow releaseRows[] = {
     {"its body comes",
      encodeFrame(FrameType::CallBody, CallBody{1, std::string(minimumGrantedBodySize, 'x')})},
     {"its caller gives up", encodeFrame(FrameType::CallCancel, CallCancel{1})},
@@ -325,18 +327,18 @@
 
 } // namespace
 
-// Whether bodies are granted is said first of all, and only to who can take it.
-TABLE_TEST(peerServer, aHelloIsAnsweredWhereBodiesAreGranted, helloRows)
+// The server announces that it grants bodies before any other frame, and only to peers that support it.
+TABLE_TEST(peerServer, repliesToHelloWhenBodiesAreGranted, helloRows)
 {
     PeerServerFixture fixture(row.grants);
-    Sender sender(fixture);
+    RawPeer sender(fixture);
     sender.send(encodeFrame(FrameType::Hello, HelloMessage{"a1", row.protocol}));
     sender.send(encodeFrame(FrameType::Ping, Heartbeat{1}));
     cr_assert(fixture.runUntil([&] { return sender.frames.size() >= row.frames.size(); }));
     cr_assert(sender.frames == row.frames, "%s", row.what);
 }
 
-// A large call is answered as any other and its body is whole, whether or not it waits for a grant.
+// A large call is answered and its body is complete, whether or not it waits for a grant.
 TABLE_TEST(peerServer, aLargeCallIsAnswered, linkRows)
 {
     PeerServerFixture fixture(row.grants);
@@ -357,16 +359,17 @@
         cr_assert(fixture.answers[name].body == "/" + std::string(name));
 }
 
-// A body holds the link: the next one has its turn when the first is done with it, in whichever way.
-TABLE_TEST(peerServer, aGrantIsFreed, freedRows)
+// A granted body occupies the link. The next one is granted once the first grant is released, in any of these
+// ways.
+TABLE_TEST(peerServer, aGrantIsReleased, releaseRows)
 {
-    PeerServerFixture fixture(narrowLink());
+    PeerServerFixture fixture(slowLinkSettings());
     fixture.announce(4, UpstreamCondition::Ready);
-    Sender first(fixture);
-    Sender second(fixture);
-    first.send(encodeFrame(FrameType::CallHead, headOf(1, minimumGrantedBodySize)));
+    RawPeer first(fixture);
+    RawPeer second(fixture);
+    first.send(encodeFrame(FrameType::CallHead, makeHead(1, minimumGrantedBodySize)));
     cr_assert(fixture.runUntil([&] { return first.granted == Granted{1}; }));
-    second.send(encodeFrame(FrameType::CallHead, headOf(2, minimumGrantedBodySize)));
+    second.send(encodeFrame(FrameType::CallHead, makeHead(2, minimumGrantedBodySize)));
     second.send(encodeFrame(FrameType::Ping, Heartbeat{1}));
     fixture.context.run_for(Milliseconds(50));
     cr_assert(second.granted.empty());
@@ -377,25 +380,25 @@
     cr_assert(fixture.runUntil([&] { return second.granted == Granted{2}; }), "%s", row.what);
 }
 
-// The sender dies without a word after its grant. Nobody says so, and the next body goes on all the same.
+// The sender dies silently after its grant. The grant expires, and the next body is granted.
 Test(peerServer, aGrantWhoseBodyDoesNotComeExpires)
 {
-    BodyGrantSettings grants = narrowLink();
+    BodyGrantSettings grants = slowLinkSettings();
     grants.grantLifetime = Milliseconds(50);
     PeerServerFixture fixture(grants);
-    Sender sender(fixture);
-    sender.send(encodeFrame(FrameType::CallHead, headOf(1, minimumGrantedBodySize)));
-    sender.send(encodeFrame(FrameType::CallHead, headOf(2, minimumGrantedBodySize)));
+    RawPeer sender(fixture);
+    sender.send(encodeFrame(FrameType::CallHead, makeHead(1, minimumGrantedBodySize)));
+    sender.send(encodeFrame(FrameType::CallHead, makeHead(2, minimumGrantedBodySize)));
     cr_assert(fixture.runUntil([&] { return sender.granted == Granted({1, 2}); }));
 }
 
-// A call whose body cannot be here in time is refused while it is still with its sender, and has not run.
-Test(peerServer, aBodyThatComesTooLateIsRefusedBeforeItCrosses)
+// A call whose body cannot arrive in time is refused as not run before the body is sent.
+Test(peerServer, aBodyThatWouldArriveLateIsRefusedBeforeItIsSent)
 {
-    PeerServerFixture fixture(narrowLink());
-    Sender sender(fixture);
-    sender.send(encodeFrame(FrameType::CallHead, headOf(1, minimumGrantedBodySize)));
-    CallHead late = headOf(2, minimumGrantedBodySize);
+    PeerServerFixture fixture(slowLinkSettings());
+    RawPeer sender(fixture);
+    sender.send(encodeFrame(FrameType::CallHead, makeHead(1, minimumGrantedBodySize)));
+    CallHead late = makeHead(2, minimumGrantedBodySize);
     late.call.remainingMicroseconds = 300000;
     sender.send(encodeFrame(FrameType::CallHead, late));
     cr_assert(fixture.runUntil([&] { return sender.answers.size() == 1; }));
@@ -405,13 +408,14 @@
     cr_assert(sender.granted == Granted{1});
 }
 
-// A call waits in the line until its time is nearly over: it is refused then and not at its deadline.
+// A call that awaits a grant is refused as soon as its body can no longer arrive in time, not at its
+// deadline.
 Test(peerServer, aBodyThatWaitedTooLongIsRefused)
 {
-    PeerServerFixture fixture(narrowLink());
-    Sender sender(fixture);
-    sender.send(encodeFrame(FrameType::CallHead, headOf(1, minimumGrantedBodySize)));
-    CallHead late = headOf(2, minimumGrantedBodySize);
+    PeerServerFixture fixture(slowLinkSettings());
+    RawPeer sender(fixture);
+    sender.send(encodeFrame(FrameType::CallHead, makeHead(1, minimumGrantedBodySize)));
+    CallHead late = makeHead(2, minimumGrantedBodySize);
     late.call.remainingMicroseconds = 450000;
     sender.send(encodeFrame(FrameType::CallHead, late));
     const Instant sent = SteadyClock::now();
@@ -421,13 +425,13 @@
     cr_assert(sender.granted == Granted{1});
 }
 
-// The gate is full for calls of this kind: it says so before the body crosses.
-Test(peerServer, whatTheGateRefusesDoesNotCross)
+// A call that the gate would refuse is refused before its body is sent.
+Test(peerServer, aBodyIsNotSentForACallThatTheGateRefuses)
 {
-    PeerServerFixture fixture(narrowLink());
+    PeerServerFixture fixture(slowLinkSettings());
     fixture.announce(1, UpstreamCondition::Draining);
-    Sender sender(fixture);
-    sender.send(encodeFrame(FrameType::CallHead, headOf(1, minimumGrantedBodySize)));
+    RawPeer sender(fixture);
+    sender.send(encodeFrame(FrameType::CallHead, makeHead(1, minimumGrantedBodySize)));
     cr_assert(fixture.runUntil([&] { return sender.answers.size() == 1; }));
     cr_assert(sender.answers[0].outcome == Outcome::NotRun);
     cr_assert(sender.answers[0].reason == "draining");
@@ -435,26 +439,27 @@
     cr_assert(fixture.gate.inFlight() == 0);
 }
 
-// More nodes ask than the line holds: the ones beyond it are refused and may go elsewhere.
-Test(peerServer, theLineIsBounded)
+// The queue for grants is bounded: further calls are refused and may be retried elsewhere.
+Test(peerServer, theGrantQueueIsBounded)
 {
-    BodyGrantSettings grants = narrowLink();
+    BodyGrantSettings grants = slowLinkSettings();
     grants.maximumQueued = 2;
     PeerServerFixture fixture(grants);
-    Sender sender(fixture);
+    RawPeer sender(fixture);
     for (const std::uint64_t callId : {1, 2, 3, 4})
-        sender.send(encodeFrame(FrameType::CallHead, headOf(callId, minimumGrantedBodySize)));
+        sender.send(encodeFrame(FrameType::CallHead, makeHead(callId, minimumGrantedBodySize)));
     cr_assert(fixture.runUntil([&] { return sender.answers.size() == 1; }));
     cr_assert(sender.answers[0].callId == 4);
     cr_assert(sender.answers[0].reason == "peer_congested");
     cr_assert(sender.answers[0].outcome == Outcome::NotRun);
 }
 
-// The last answers of a node that ends are cut short by a reset when the other node still sends.
-Test(peerServer, aNodeThatEndsWaitsUntilOthersHaveReadItsAnswers)
+// A node that shuts down must wait until its peers have read their last responses. If it closed while a peer
+// still sends, a TCP reset could destroy them.
+Test(peerServer, shutdownWaitsUntilPeersHaveReadTheirResponses)
 {
     PeerServerFixture fixture;
-    Sender sender(fixture);
+    RawPeer sender(fixture);
     CallRequest request;
     request.callId = 7;
     request.cluster = "booking";
@@ -468,35 +473,36 @@
     fixture.server.goAway();
     request.callId = 8;
     sender.send(encodeFrame(FrameType::CallRequest, request));
-    cr_assert(fixture.runUntil([&] { return sender.lastCallId.has_value(); }));
-    cr_assert(sender.answers.size() == 1 && *sender.lastCallId == 7);
+    cr_assert(fixture.runUntil([&] { return sender.goAwayCallId.has_value(); }));
+    cr_assert(sender.answers.size() == 1 && *sender.goAwayCallId == 7);
     cr_assert(fixture.server.pendingCloses() == 1);
     sender.socket.close();
     cr_assert(fixture.runUntil([&] { return fixture.server.pendingCloses() == 0; }));
-    cr_assert(fixture.receivedRequests.size() == 1, "a call was taken after the last word");
+    cr_assert(fixture.receivedRequests.size() == 1, "a call was accepted after GoAway");
 }
 
-// A host that is dead, or has nothing to read, must not hold up the end of a node.
-Test(peerServer, aNodeThatEndsWaitsForNobodyItHasNotAnswered)
+// A peer that is dead or has no response to read must not delay the shutdown.
+Test(peerServer, shutdownDoesNotWaitForPeersWithoutResponses)
 {
     PeerServerFixture fixture;
-    Sender sender(fixture);
+    RawPeer sender(fixture);
     sender.send(encodeFrame(FrameType::Ping, Heartbeat{1}));
     cr_assert(fixture.runUntil([&] { return sender.frames.size() == 1; }));
     fixture.server.goAway();
     cr_assert(fixture.server.pendingCloses() == 0);
 }
 
-// A granted body is on its way when the node ends: it is refused as not run, and its grant is free.
-Test(peerServer, aNodeThatEndsRefusesWhatItGranted)
+// A granted body is in transit when the node shuts down. Its call is refused as not run, and the grant is
+// released.
+Test(peerServer, shutdownRefusesCallsWithAGrantedBody)
 {
-    PeerServerFixture fixture(narrowLink());
-    Sender sender(fixture);
-    sender.send(encodeFrame(FrameType::CallHead, headOf(1, minimumGrantedBodySize)));
+    PeerServerFixture fixture(slowLinkSettings());
+    RawPeer sender(fixture);
+    sender.send(encodeFrame(FrameType::CallHead, makeHead(1, minimumGrantedBodySize)));
     cr_assert(fixture.runUntil([&] { return sender.granted.size() == 1; }));
     fixture.server.goAway();
     sender.send(encodeFrame(FrameType::CallBody, CallBody{1, std::string(minimumGrantedBodySize, 'x')}));
-    cr_assert(fixture.runUntil([&] { return sender.lastCallId.has_value(); }));
+    cr_assert(fixture.runUntil([&] { return sender.goAwayCallId.has_value(); }));
     cr_assert(sender.answers.size() == 1 && sender.answers[0].outcome == Outcome::NotRun);
     cr_assert(fixture.receivedRequests.empty() && fixture.gate.inFlight() == 0);
 }
