--- a/Services/Node/Callers/CallerFrontend.cpp
+++ b/Services/Node/Callers/CallerFrontend.cpp
@@ -107,7 +107,7 @@
     exchange.respond(this->makeAnswer(std::move(response), {}, callId));
 }
 
-std::optional<RouteChoice> CallerFrontend::routeOf(const HttpRequest &request) const
+std::optional<RouteMatch> CallerFrontend::routeOf(const HttpRequest &request) const
 {
     const std::string_view path = std::string_view(request.target).substr(0, request.target.find('?'));
     return this->hooks.route(findHeader(request.headers, "Host"), request.method, path);
@@ -116,7 +116,7 @@
 // What no route serves is refused without running, so it may be refused at once as well.
 bool CallerFrontend::mayPipeline(const HttpRequest &request) const
 {
-    const std::optional<RouteChoice> route = this->routeOf(request);
+    const std::optional<RouteMatch> route = this->routeOf(request);
     return !route || (route->idempotent && findHeader(request.headers, this->names.idempotencyKey).empty());
 }
 
@@ -127,10 +127,10 @@
         this->context.observer.requestInvalid(problem);
         return this->refuse(request, *exchange, 400, problem, 0);
     }
-    if (worker.refusesCallers())
+    if (worker.rejectsNewCalls())
         return this->refuse(request, *exchange, 503, reasonLeaving, leavingRetryAfter);
-    const std::optional<RouteChoice> route = this->routeOf(request);
-    if (!route && !this->hooks.holdsConfiguration())
+    const std::optional<RouteMatch> route = this->routeOf(request);
+    if (!route && !this->hooks.hasConfiguration())
         return this->refuse(request, *exchange, 503, "no_configuration_yet", noConfigurationRetryAfter);
     if (!route)
         return this->refuse(request, *exchange, 404, "no_route", 0);
@@ -150,15 +150,15 @@
     plan.arrived = arrived;
     plan.deadline = arrived + callTimeout(asked, route->timeout, this->maximumTimeout);
     if (asked)
-        plan.givesUp = arrived + *asked;
+        plan.callerDeadline = arrived + *asked;
 
     CallRequest call = this->makeCall(std::move(request), *route);
-    plan.firstCame = this->firstCame(call.kind, plan);
+    plan.firstArrived = this->firstArrived(call.kind, plan);
     if (route->targetLatency > Milliseconds(0))
-        plan.target = plan.firstCame + route->targetLatency;
+        plan.target = plan.firstArrived + route->targetLatency;
     if (call.callerCallId.empty())
         call.callerCallId = this->context.ids.next();
-    const auto open = std::make_shared<OpenCall>(this->hooks.began, this->hooks.ended);
+    const auto open = std::make_shared<OpenCall>(this->hooks.callStarted, this->hooks.callEnded);
     RequestObserver &observer = this->context.observer;
     const auto span = std::make_shared<Span>(observer.openSpan(SpanName::Call, call.traceParent, arrived));
     span->field("route", route->name);
@@ -185,13 +185,13 @@
     forwarded->start();
 }
 
-Instant CallerFrontend::firstCame(std::uint64_t kind, const CallPlan &plan) const
+Instant CallerFrontend::firstArrived(std::uint64_t kind, const CallPlan &plan) const
 {
-    if (!plan.givesUp)
+    if (!plan.callerDeadline)
         return plan.arrived;
     RefusedCallers &refused = this->context.refusedCallers;
     const std::lock_guard guard(refused.mutex);
-    return refused.returning.matchRetry(plan.arrived, kind, *plan.givesUp).value_or(plan.arrived);
+    return refused.returning.matchRetry(plan.arrived, kind, *plan.callerDeadline).value_or(plan.arrived);
 }
 
 Milliseconds callTimeout(std::optional<Milliseconds> asked, Milliseconds routes, Milliseconds maximum)
@@ -201,7 +201,7 @@
     return std::min(*asked, std::max(routes, maximum));
 }
 
-CallRequest CallerFrontend::makeCall(HttpRequest request, const RouteChoice &route) const
+CallRequest CallerFrontend::makeCall(HttpRequest request, const RouteMatch &route) const
 {
     CallRequest call;
     call.cluster = route.cluster;
--- a/Services/Node/Callers/CallerFrontend.h
+++ b/Services/Node/Callers/CallerFrontend.h
@@ -14,7 +14,7 @@
 
 namespace Sagecrank {
 
-struct RouteChoice
+struct RouteMatch
 {
     std::string name;
     std::string cluster;
@@ -31,13 +31,13 @@
 struct CallerFrontendHooks
 {
     // Nothing when no route matches. Reads the configuration snapshot; safe on every request thread.
-    std::function<std::optional<RouteChoice>(std::string_view host, std::string_view method,
-                                             std::string_view path)>
+    std::function<std::optional<RouteMatch>(std::string_view host, std::string_view method,
+                                            std::string_view path)>
         route;
-    std::function<bool()> holdsConfiguration;
+    std::function<bool()> hasConfiguration;
     // Every call that got past its checks begins and ends once, answered or given up by its caller.
-    std::function<void()> began;
-    std::function<void()> ended;
+    std::function<void()> callStarted;
+    std::function<void()> callEnded;
 };
 
 // How long a call may take: what its caller asked for, else what its route says. A caller may ask for more
@@ -56,12 +56,12 @@
     void handle(Worker &worker, HttpRequest request, std::shared_ptr<HttpExchange> exchange) const;
 
 private:
-    std::optional<RouteChoice> routeOf(const HttpRequest &request) const;
+    std::optional<RouteMatch> routeOf(const HttpRequest &request) const;
     std::string_view problemOf(const HttpRequest &request) const;
     void refuse(const HttpRequest &request, HttpExchange &exchange, std::uint32_t status,
                 std::string_view reason, std::uint32_t retryAfterMilliseconds) const;
-    Instant firstCame(std::uint64_t kind, const CallPlan &plan) const;
-    CallRequest makeCall(HttpRequest request, const RouteChoice &route) const;
+    Instant firstArrived(std::uint64_t kind, const CallPlan &plan) const;
+    CallRequest makeCall(HttpRequest request, const RouteMatch &route) const;
     HttpResponse makeAnswer(CallResponse response, const std::string &traceParent,
                             const std::string &callerCallId) const;
     std::string retryAfterText(std::uint32_t milliseconds) const;
--- a/Services/Node/Callers/ForwardedCall.cpp
+++ b/Services/Node/Callers/ForwardedCall.cpp
@@ -74,7 +74,7 @@
 } // namespace
 
 ForwardedCall::ForwardedCall(ForwardingContext &context, Worker &worker, CallPlan plan, CallRequest request,
-                             AnswerHook answer)
+                             ResponseCallback answer)
     : context(context)
     , worker(worker)
     , plan(std::move(plan))
@@ -87,7 +87,7 @@
 
 void ForwardedCall::start()
 {
-    this->worker.opened(*this);
+    this->worker.addCall(*this);
     if (this->context.quarantine.remainingQuarantine) {
         if (const auto refused = this->context.quarantine.remainingQuarantine(this->request))
             return this->finish(refusal(reasonQuarantined, *refused));
@@ -312,9 +312,9 @@
     if (response.outcome != Outcome::Done && this->upstreamFailure)
         response = std::move(*this->upstreamFailure);
     this->noteRefused(response);
-    const AnswerHook hook = std::move(this->answer);
+    const ResponseCallback hook = std::move(this->answer);
     this->answer = nullptr;
-    this->worker.closed(*this);
+    this->worker.removeCall(*this);
     this->deadlineTimer.cancel();
     this->hedgeTimer.cancel();
     this->cancelOpenAttempts();
@@ -328,11 +328,11 @@
 
 void ForwardedCall::noteRefused(const CallResponse &response)
 {
-    if (response.outcome != Outcome::NotRun || !this->plan.givesUp)
+    if (response.outcome != Outcome::NotRun || !this->plan.callerDeadline)
         return;
     const std::lock_guard guard(this->context.refusedCallers.mutex);
     this->context.refusedCallers.returning.recordRefusal(SteadyClock::now(), this->request.kind,
-                                                         *this->plan.givesUp, this->plan.firstCame);
+                                                         *this->plan.callerDeadline, this->plan.firstArrived);
 }
 
 CallSummary ForwardedCall::summary() const
@@ -357,7 +357,7 @@
         return;
     this->context.observer.callAbandoned(this->summary());
     this->answer = nullptr;
-    this->worker.closed(*this);
+    this->worker.removeCall(*this);
     this->deadlineTimer.cancel();
     this->hedgeTimer.cancel();
     this->cancelOpenAttempts();
@@ -377,7 +377,7 @@
     }
 }
 
-void ForwardedCall::endUnknown()
+void ForwardedCall::finishAsUnknown()
 {
     this->finishUnknown(reasonLeaving);
 }
--- a/Services/Node/Callers/ForwardedCall.h
+++ b/Services/Node/Callers/ForwardedCall.h
@@ -34,9 +34,9 @@
     std::string routeName;
     Instant arrived;
     Instant deadline;
-    std::optional<Instant> target;  // An answer after it is worth less to the caller.
-    std::optional<Instant> givesUp; // When the caller goes, if it said so.
-    Instant firstCame;              // Its first try; `arrived` unless it was refused and came back.
+    std::optional<Instant> target;         // An answer after it is worth less to the caller.
+    std::optional<Instant> callerDeadline; // When the caller goes, if it said so.
+    Instant firstArrived;                  // Its first try; `arrived` unless it was refused and came back.
 };
 
 // The callers that this node has refused, shared by its request threads.
@@ -62,11 +62,11 @@
 class ForwardedCall : public std::enable_shared_from_this<ForwardedCall>
 {
 public:
-    using AnswerHook = std::function<void(CallResponse)>;
+    using ResponseCallback = std::function<void(CallResponse)>;
 
     // `request` carries everything but the numbers of an attempt.
     ForwardedCall(ForwardingContext &context, Worker &worker, CallPlan plan, CallRequest request,
-                  AnswerHook answer);
+                  ResponseCallback answer);
 
     void start();
 
@@ -76,7 +76,7 @@
     // This node is about to end. First each call that has not begun anywhere is taken back and refused; in
     // the end what still runs is answered "unknown", since no answer can be passed on any more.
     void withdraw();
-    void endUnknown();
+    void finishAsUnknown();
 
 private:
     // Where an attempt goes, copied out of the view.
@@ -122,7 +122,7 @@
     Worker &worker;
     const CallPlan plan;
     const CallRequest request;
-    AnswerHook answer; // Empty once answered or abandoned.
+    ResponseCallback answer; // Empty once answered or abandoned.
     std::shared_ptr<ServiceState> service;
     std::vector<Attempt> attempts;
     std::vector<std::string> triedIds;
--- a/Services/Node/Callers/UpstreamView.cpp
+++ b/Services/Node/Callers/UpstreamView.cpp
@@ -37,7 +37,7 @@
 {
 }
 
-void UpstreamViewBuilder::shareRetries(double reserve)
+void UpstreamViewBuilder::setRetryReserve(double reserve)
 {
     for (const auto &[cluster, state] : this->states) {
         const std::lock_guard guard(state->mutex);
--- a/Services/Node/Callers/UpstreamView.h
+++ b/Services/Node/Callers/UpstreamView.h
@@ -48,7 +48,7 @@
     std::unique_ptr<const UpstreamView> build(const std::vector<Member> &members);
 
     // The nodes that share an allowance of retries, and each service's part of it for this node.
-    void shareRetries(double reserve);
+    void setRetryReserve(double reserve);
 
     // Drops what was learnt of upstreams that no call has used since.
     void forgetUnused(Instant before);
--- a/Services/Node/Callers/Worker.cpp
+++ b/Services/Node/Callers/Worker.cpp
@@ -77,7 +77,7 @@
 
 // Failure: a node that ends takes a full path for a dead peer. Symptom: it answers for calls at which
 // upstreams are at work, and its callers have no other node to ask. They keep their deadlines.
-void Worker::beginEnding()
+void Worker::beginShutdown()
 {
     boost::asio::post(this->context, [this] {
         this->callerServer.disableKeepAlive();
@@ -92,7 +92,7 @@
     boost::asio::post(this->context, [this] { this->callerServer.stopAccepting(); });
 }
 
-void Worker::refuseCallers(std::function<void()> done)
+void Worker::rejectNewCalls(std::function<void()> done)
 {
     boost::asio::post(this->context, [this, done = std::move(done)] {
         this->refusing = true;
@@ -100,7 +100,7 @@
     });
 }
 
-void Worker::withdrawWaiting()
+void Worker::withdrawPendingCalls()
 {
     boost::asio::post(this->context, [this] {
         for (const auto &call : this->openCalls())
@@ -108,11 +108,11 @@
     });
 }
 
-void Worker::endCalls(Duration longestWait, std::function<void()> done)
+void Worker::finishCalls(Duration longestWait, std::function<void()> done)
 {
     boost::asio::post(this->context, [this, longestWait, done = std::move(done)]() mutable {
         for (const auto &call : this->openCalls())
-            call->endUnknown();
+            call->finishAsUnknown();
         this->peerServer.goAway();
         this->awaitPeers(SteadyClock::now() + longestWait, std::move(done));
     });
@@ -129,7 +129,7 @@
         });
 }
 
-bool Worker::allAnswered() const
+bool Worker::allResponsesSent() const
 {
     return this->callerServer.pendingResponses() == 0
            && this->peerServer.connectionsWithUnsentResponses() == 0;
--- a/Services/Node/Callers/Worker.h
+++ b/Services/Node/Callers/Worker.h
@@ -50,15 +50,15 @@
     void stop(); // Ends the thread; calls that are under way end with their connections.
 
     // From any thread.
-    void beginEnding(); // Callers are asked to close; calls to other nodes are waited for.
+    void beginShutdown(); // Callers are asked to close; calls to other nodes are waited for.
     void stopAccepting();
-    void withdrawWaiting();
+    void withdrawPendingCalls();
     // All that is read from now on is refused; `done` runs on its thread once that holds.
-    void refuseCallers(std::function<void()> done);
+    void rejectNewCalls(std::function<void()> done);
     // Answers all that is under way and takes leave of the other nodes, and waits so long at most for those
     // to read their last answers; `done` runs on its thread.
-    void endCalls(Duration longestWait, std::function<void()> done);
-    bool allAnswered() const; // Nothing that was taken waits for its answer to leave.
+    void finishCalls(Duration longestWait, std::function<void()> done);
+    bool allResponsesSent() const; // Nothing that was taken waits for its answer to leave.
 
     boost::asio::io_context &ioContext() { return this->context; }
     RequestThread gateHome() { return {this->context, this->client}; }
@@ -67,11 +67,11 @@
     void forgetUnused(Instant before);
 
     // On the worker's own thread.
-    bool refusesCallers() const { return this->refusing; }
+    bool rejectsNewCalls() const { return this->refusing; }
     // Calls keep theirs until they end; another one may take its place meanwhile.
     std::shared_ptr<PeerLink> link(const std::string &peerAddress);
-    void opened(ForwardedCall &call) { this->calls.insert(&call); }
-    void closed(ForwardedCall &call) { this->calls.erase(&call); }
+    void addCall(ForwardedCall &call) { this->calls.insert(&call); }
+    void removeCall(ForwardedCall &call) { this->calls.erase(&call); }
 
 private:
     std::vector<std::shared_ptr<ForwardedCall>> openCalls() const;
--- a/Services/Node/Node.cpp
+++ b/Services/Node/Node.cpp
@@ -286,7 +286,7 @@
 {
     this->view.replace(this->viewBuilder.build(members));
     if (this->settings.requests.sharedRetryReserve > 0)
-        this->viewBuilder.shareRetries(retryPart(this->settings.requests.sharedRetryReserve, members));
+        this->viewBuilder.setRetryReserve(retryPart(this->settings.requests.sharedRetryReserve, members));
 }
 
 CallerFrontendHooks Node::callerHooks()
@@ -295,9 +295,9 @@
     hooks.route = [this](std::string_view host, std::string_view method, std::string_view path) {
         return this->route(host, method, path);
     };
-    hooks.holdsConfiguration = [this] { return this->configuration.version() > 0; };
-    hooks.began = [this] { ++this->callsForwarded; };
-    hooks.ended = [this] { --this->callsForwarded; };
+    hooks.hasConfiguration = [this] { return this->configuration.version() > 0; };
+    hooks.callStarted = [this] { ++this->callsForwarded; };
+    hooks.callEnded = [this] { --this->callsForwarded; };
     return hooks;
 }
 
@@ -321,14 +321,14 @@
     return limits;
 }
 
-std::optional<RouteChoice> Node::route(std::string_view host, std::string_view method,
-                                       std::string_view path) const
+std::optional<RouteMatch> Node::route(std::string_view host, std::string_view method,
+                                      std::string_view path) const
 {
     const auto snapshot = this->configuration.read();
     const RouteEntry *entry = snapshot ? snapshot->match(host, method, path) : nullptr;
     if (entry == nullptr)
         return std::nullopt;
-    RouteChoice choice;
+    RouteMatch choice;
     choice.name = entry->route->name;
     choice.cluster = chooseCluster(*entry);
     choice.priority = entry->route->priority;
--- a/Services/Node/Node.h
+++ b/Services/Node/Node.h
@@ -60,8 +60,8 @@
     UpstreamPresenceHooks presenceHooks();
     UpstreamRecordHooks recordHooks();
     void followStoreEra();
-    std::optional<RouteChoice> route(std::string_view host, std::string_view method,
-                                     std::string_view path) const;
+    std::optional<RouteMatch> route(std::string_view host, std::string_view method,
+                                    std::string_view path) const;
     HttpLimits callerLimits() const;
     bool ready() const;
     void membersChanged(const std::vector<Member> &members);
--- a/Services/Node/NodeEnd.cpp
+++ b/Services/Node/NodeEnd.cpp
@@ -12,7 +12,7 @@
 bool Node::isIdle() const
 {
     return this->gate.inFlight() == 0 && this->callsForwarded == 0 && this->claims.unsettledClaims() == 0
-           && std::ranges::all_of(this->workers, &Worker::allAnswered);
+           && std::ranges::all_of(this->workers, &Worker::allResponsesSent);
 }
 
 // Each worker is to call it once, on its own thread.
@@ -33,7 +33,7 @@
         });
     });
     for (const auto &worker : this->workers)
-        worker->refuseCallers(refused);
+        worker->rejectNewCalls(refused);
 }
 
 // The process ends once each thread has given what is under way its final answer. At the maximum of a drain
@@ -43,7 +43,7 @@
     const Duration peersTime = this->isIdle() ? lastAnswersTime : Duration::zero();
     const std::function<void()> ended = this->afterAllWorkers([this] { this->control.stop(); });
     for (const auto &worker : this->workers)
-        worker->endCalls(peersTime, ended);
+        worker->finishCalls(peersTime, ended);
 }
 
 NodeDrainHooks Node::drainHooks()
@@ -57,7 +57,7 @@
     hooks.deflectCallers = [this] {
         this->log.write(EventId::ProcessDraining, {{"in_flight", this->gate.inFlight()}});
         for (const auto &worker : this->workers)
-            worker->beginEnding();
+            worker->beginShutdown();
     };
     hooks.stopCallers = [this] {
         for (const auto &worker : this->workers)
@@ -67,7 +67,7 @@
     hooks.withdrawWaiting = [this] {
         this->gate.refuseQueuedCalls();
         for (const auto &worker : this->workers)
-            worker->withdrawWaiting();
+            worker->withdrawPendingCalls();
     };
     hooks.leave = [this] { this->endCalls(); };
     hooks.refuseCallers = [this] { this->refuseCallers(); };
--- a/Tests/Node/TestForwardedCall.cpp
+++ b/Tests/Node/TestForwardedCall.cpp
@@ -301,7 +301,7 @@
     fixture.call(ForwardFixture::plan(false));
     cr_assert(fixture.runUntil([&] { return fixture.callsSent() == 1; }));
     FakePeer &peer = fixture.peers[fixture.first()];
-    fixture.worker.withdrawWaiting();
+    fixture.worker.withdrawPendingCalls();
     cr_assert(fixture.runUntil([&] { return peer.withdrawals == 1; }));
     cr_assert(!fixture.answer, "it may be running there");
     peer.refuse(0, false);
@@ -317,8 +317,8 @@
     fixture.call(ForwardFixture::plan(false));
     cr_assert(fixture.runUntil([&] { return fixture.callsSent() == 1; }));
     bool ended = false;
-    fixture.worker.withdrawWaiting();
-    fixture.worker.endCalls(Duration::zero(), [&ended] { ended = true; });
+    fixture.worker.withdrawPendingCalls();
+    fixture.worker.finishCalls(Duration::zero(), [&ended] { ended = true; });
     cr_assert(fixture.runUntil([&] { return ended; }));
     cr_assert(fixture.answer && fixture.answer->outcome == Outcome::Unknown && fixture.answer->status == 504);
     cr_assert(fixture.answer->retryAfterMilliseconds > 0);
@@ -347,7 +347,7 @@
     const std::shared_ptr<ForwardedCall> slow = fixture.forwarded;
     cr_assert(fixture.runUntil([&] { return peer.calls.size() == 1; }));
     const std::shared_ptr<PeerLink> link = fixture.worker.link(peer.address());
-    fixture.worker.beginEnding();
+    fixture.worker.beginShutdown();
     cr_assert(fixture.runUntil([&] { return link->isSilent(SteadyClock::now()); }));
     cr_assert(!fixture.answer, "what may be running was given up");
     fixture.call(ForwardFixture::plan(false));
