--- a/Services/Node/Callers/CallIds.h
+++ b/Services/Node/Callers/CallIds.h
@@ -1,4 +1,4 @@
-// Names for calls and attempts that no two nodes and no two lives of one node share.
+// Generates ids for calls and attempts, unique across nodes and across restarts of a node.
 #pragma once
 
 #include <atomic>
@@ -23,7 +23,7 @@
     }
 
 private:
-    std::string prefix; // The start time tells a restarted node's names from its earlier ones.
+    std::string prefix; // Includes the start time, so that a restarted node does not reuse ids.
     std::atomic<std::uint64_t> counter = 1;
 };
 
--- a/Services/Node/Callers/CallerFrontend.cpp
+++ b/Services/Node/Callers/CallerFrontend.cpp
@@ -1,4 +1,4 @@
-// Translates between HTTP and calls.
+// Implements the translation between HTTP requests and calls.
 #include "CallerFrontend.h"
 
 #include <Node/CallReasons.h>
@@ -14,14 +14,14 @@
 
 namespace {
 
-constexpr std::size_t maximumKeyLength = 256;
+constexpr std::size_t maximumIdempotencyKeyLength = 256;
 constexpr std::size_t maximumCallIdLength = 256;
 
-// A node that has just started reads its first version within some hundred milliseconds.
-constexpr std::uint32_t noConfigurationRetryAfter = 300;
+// A node reads its first configuration version within a few hundred milliseconds of its start.
+constexpr std::uint32_t noConfigurationRetryAfterMilliseconds = 300;
 
-// A node that is replaced by another process is back within this.
-constexpr std::uint32_t leavingRetryAfter = 1000;
+// A node whose process is replaced is available again within this time.
+constexpr std::uint32_t shutdownRetryAfterMilliseconds = 1000;
 
 bool isOneOf(std::string_view name, std::initializer_list<std::string_view> names)
 {
@@ -30,7 +30,7 @@
     });
 }
 
-std::optional<std::int64_t> wholeNumber(std::string_view text)
+std::optional<std::int64_t> parseInteger(std::string_view text)
 {
     std::int64_t value = 0;
     const auto [end, problem] = std::from_chars(text.data(), text.data() + text.size(), value);
@@ -39,31 +39,31 @@
     return value;
 }
 
-// Says once that a call began and once that it ended, however it ends.
-class OpenCall
+// Reports the start of a call and, exactly once, its end.
+class CallTracker
 {
 public:
-    OpenCall(const std::function<void()> &began, std::function<void()> ended)
-        : ended(std::move(ended))
+    CallTracker(const std::function<void()> &onStarted, std::function<void()> onEnded)
+        : onEnded(std::move(onEnded))
     {
-        began();
+        onStarted();
     }
-    ~OpenCall() { this->end(); }
-    OpenCall(const OpenCall &) = delete;
-    OpenCall &operator=(const OpenCall &) = delete;
+    ~CallTracker() { this->end(); }
+    CallTracker(const CallTracker &) = delete;
+    CallTracker &operator=(const CallTracker &) = delete;
 
     void end()
     {
-        if (!this->over)
-            this->ended();
-        this->over = true;
+        if (!this->hasEnded)
+            this->onEnded();
+        this->hasEnded = true;
     }
 
-    std::weak_ptr<ForwardedCall> running; // The connection must not keep a call alive that has ended.
+    std::weak_ptr<ForwardedCall> running; // Weak: a finished call must not live as long as its connection.
 
 private:
-    std::function<void()> ended;
-    bool over = false;
+    std::function<void()> onEnded;
+    bool hasEnded = false;
 };
 
 } // namespace
@@ -78,19 +78,19 @@
 {
 }
 
-// Nothing when the request can be taken, else what is wrong with it.
-std::string_view CallerFrontend::problemOf(const HttpRequest &request) const
+// Returns the reason to reject the request; empty when it is valid.
+std::string_view CallerFrontend::validate(const HttpRequest &request) const
 {
     if (request.target.empty() || request.target.front() != '/')
         return "bad_target";
-    if (findHeader(request.headers, this->names.idempotencyKey).size() > maximumKeyLength)
+    if (findHeader(request.headers, this->names.idempotencyKey).size() > maximumIdempotencyKeyLength)
         return "idempotency_key_too_long";
     if (findHeader(request.headers, this->names.callId).size() > maximumCallIdLength)
         return "call_id_too_long";
     const std::string_view deadline = findHeader(request.headers, this->names.deadline);
     if (deadline.empty())
         return {};
-    const std::optional<std::int64_t> milliseconds = wholeNumber(deadline);
+    const std::optional<std::int64_t> milliseconds = parseInteger(deadline);
     return milliseconds && *milliseconds > 0 ? std::string_view() : "bad_deadline";
 }
 
@@ -104,34 +104,35 @@
     response.retryAfterMilliseconds = retryAfterMilliseconds;
     const std::string callId(findHeader(request.headers, this->names.callId));
     this->context.observer.requestRefused(callId, status, reason);
-    exchange.respond(this->makeAnswer(std::move(response), {}, callId));
+    exchange.respond(this->makeHttpResponse(std::move(response), {}, callId));
 }
 
-std::optional<RouteMatch> CallerFrontend::routeOf(const HttpRequest &request) const
+std::optional<RouteMatch> CallerFrontend::findRoute(const HttpRequest &request) const
 {
     const std::string_view path = std::string_view(request.target).substr(0, request.target.find('?'));
     return this->hooks.route(findHeader(request.headers, "Host"), request.method, path);
 }
 
-// What no route serves is refused without running, so it may be refused at once as well.
+// A request without a route is rejected without running, so it need not wait either.
 bool CallerFrontend::mayPipeline(const HttpRequest &request) const
 {
-    const std::optional<RouteMatch> route = this->routeOf(request);
+    const std::optional<RouteMatch> route = this->findRoute(request);
     return !route || (route->idempotent && findHeader(request.headers, this->names.idempotencyKey).empty());
 }
 
 void CallerFrontend::handle(Worker &worker, HttpRequest request, std::shared_ptr<HttpExchange> exchange) const
 {
-    const std::string_view problem = this->problemOf(request);
+    const std::string_view problem = this->validate(request);
     if (!problem.empty()) {
         this->context.observer.requestInvalid(problem);
         return this->refuse(request, *exchange, 400, problem, 0);
     }
     if (worker.rejectsNewCalls())
-        return this->refuse(request, *exchange, 503, reasonLeaving, leavingRetryAfter);
-    const std::optional<RouteMatch> route = this->routeOf(request);
+        return this->refuse(request, *exchange, 503, reasonLeaving, shutdownRetryAfterMilliseconds);
+    const std::optional<RouteMatch> route = this->findRoute(request);
     if (!route && !this->hooks.hasConfiguration())
-        return this->refuse(request, *exchange, 503, "no_configuration_yet", noConfigurationRetryAfter);
+        return this->refuse(request, *exchange, 503, "no_configuration_yet",
+                            noConfigurationRetryAfterMilliseconds);
     if (!route)
         return this->refuse(request, *exchange, 404, "no_route", 0);
 
@@ -144,13 +145,13 @@
     plan.routeName = route->name;
     plan.configurationVersion = route->configurationVersion;
     const Instant arrived = SteadyClock::now();
-    std::optional<Milliseconds> asked;
-    if (const auto milliseconds = wholeNumber(findHeader(request.headers, this->names.deadline)))
-        asked = Milliseconds(*milliseconds);
+    std::optional<Milliseconds> requested;
+    if (const auto milliseconds = parseInteger(findHeader(request.headers, this->names.deadline)))
+        requested = Milliseconds(*milliseconds);
     plan.arrived = arrived;
-    plan.deadline = arrived + callTimeout(asked, route->timeout, this->maximumTimeout);
-    if (asked)
-        plan.callerDeadline = arrived + *asked;
+    plan.deadline = arrived + callTimeout(requested, route->timeout, this->maximumTimeout);
+    if (requested)
+        plan.callerDeadline = arrived + *requested;
 
     CallRequest call = this->makeCall(std::move(request), *route);
     plan.firstArrived = this->firstArrived(call.kind, plan);
@@ -158,7 +159,7 @@
         plan.target = plan.firstArrived + route->targetLatency;
     if (call.callerCallId.empty())
         call.callerCallId = this->context.ids.next();
-    const auto open = std::make_shared<OpenCall>(this->hooks.callStarted, this->hooks.callEnded);
+    const auto tracker = std::make_shared<CallTracker>(this->hooks.callStarted, this->hooks.callEnded);
     RequestObserver &observer = this->context.observer;
     const auto span = std::make_shared<Span>(observer.openSpan(SpanName::Call, call.traceParent, arrived));
     span->field("route", route->name);
@@ -166,21 +167,21 @@
     const std::string callerCallId = call.callerCallId;
     const auto forwarded = std::make_shared<ForwardedCall>(
         this->context, worker, std::move(plan), std::move(call),
-        [this, &observer, exchange, open, span, route = *route, callerCallId,
+        [this, &observer, exchange, tracker, span, route = *route, callerCallId,
          arrived](CallResponse response) {
             const Instant now = SteadyClock::now();
             observer.callAnswered(route.callClass, response, now - arrived);
             span->field("outcome", outcomeNames.name(response.outcome));
             span->end(now);
-            exchange->respond(
-                this->makeAnswer(std::move(response), formatTraceParent(span->context()), callerCallId));
-            open->end();
+            exchange->respond(this->makeHttpResponse(std::move(response), formatTraceParent(span->context()),
+                                                     callerCallId));
+            tracker->end();
         });
-    open->running = forwarded;
-    exchange->onCallerDisconnected([open] {
-        if (const auto self = open->running.lock())
+    tracker->running = forwarded;
+    exchange->onCallerDisconnected([tracker] {
+        if (const auto self = tracker->running.lock())
             self->abandon();
-        open->end();
+        tracker->end();
     });
     forwarded->start();
 }
@@ -194,11 +195,12 @@
     return refused.returning.matchRetry(plan.arrived, kind, *plan.callerDeadline).value_or(plan.arrived);
 }
 
-Milliseconds callTimeout(std::optional<Milliseconds> asked, Milliseconds routes, Milliseconds maximum)
+Milliseconds callTimeout(std::optional<Milliseconds> requested, Milliseconds routeTimeout,
+                         Milliseconds maximum)
 {
-    if (!asked)
-        return routes;
-    return std::min(*asked, std::max(routes, maximum));
+    if (!requested)
+        return routeTimeout;
+    return std::min(*requested, std::max(routeTimeout, maximum));
 }
 
 CallRequest CallerFrontend::makeCall(HttpRequest request, const RouteMatch &route) const
@@ -215,13 +217,13 @@
     call.method = std::move(request.method);
     call.target = std::move(request.target);
     for (Header &header : request.headers) {
-        // The gate writes these anew; what a caller says of its own origin is not believed.
-        const bool own =
+        // The gate sets these itself; in particular, a caller's claim about its origin is not trusted.
+        const bool writtenByNode =
             isHopHeader(header.name)
             || isOneOf(header.name, {this->names.callId, this->names.deadline, this->names.attempt,
                                      this->names.idempotencyKey, this->names.trace,
                                      this->names.expectedInstance, this->names.originService});
-        if (!own)
+        if (!writtenByNode)
             call.headers.push_back(std::move(header));
     }
     if (!this->names.originService.empty())
@@ -230,8 +232,9 @@
     return call;
 }
 
-// Fractions let a refused caller come back after the few milliseconds that a slot takes to get free.
-std::string CallerFrontend::retryAfterText(std::uint32_t milliseconds) const
+// Fractions of a second let a refused caller retry within the few milliseconds that a slot takes to become
+// free.
+std::string CallerFrontend::formatRetryAfter(std::uint32_t milliseconds) const
 {
     if (!this->names.retryAfterHasFractions)
         return std::to_string((milliseconds + 999) / 1000);
@@ -240,20 +243,20 @@
     return text.data();
 }
 
-HttpResponse CallerFrontend::makeAnswer(CallResponse response, const std::string &traceParent,
-                                        const std::string &callerCallId) const
+HttpResponse CallerFrontend::makeHttpResponse(CallResponse response, const std::string &traceParent,
+                                              const std::string &callerCallId) const
 {
-    HttpResponse answer;
-    answer.status = response.status;
-    answer.headers = std::move(response.headers);
-    answer.body = std::move(response.body);
-    std::erase_if(answer.headers, [this](const Header &header) {
+    HttpResponse result;
+    result.status = response.status;
+    result.headers = std::move(response.headers);
+    result.body = std::move(response.body);
+    std::erase_if(result.headers, [this](const Header &header) {
         return isHopHeader(header.name)
                || isOneOf(header.name, {this->names.callId, this->names.trace, this->names.outcome});
     });
-    const auto add = [&answer](const std::string &name, std::string value) {
+    const auto add = [&result](const std::string &name, std::string value) {
         if (!name.empty())
-            answer.headers.push_back({name, std::move(value)});
+            result.headers.push_back({name, std::move(value)});
     };
     add(this->names.outcome, std::string(outcomeNames.name(response.outcome)));
     if (!callerCallId.empty())
@@ -263,15 +266,15 @@
     if (!traceParent.empty())
         add(this->names.trace, traceParent);
     if (response.outcome == Outcome::Done)
-        return answer;
+        return result;
     add(this->names.reason, response.reason);
     if (response.retryAfterMilliseconds > 0) {
-        answer.headers.push_back({"Retry-After", this->retryAfterText(response.retryAfterMilliseconds)});
+        result.headers.push_back({"Retry-After", this->formatRetryAfter(response.retryAfterMilliseconds)});
         add(this->names.retryAfterMilliseconds, std::to_string(response.retryAfterMilliseconds));
     }
-    answer.headers.push_back({"Content-Type", "text/plain"});
-    answer.body = response.reason + "\n";
-    return answer;
+    result.headers.push_back({"Content-Type", "text/plain"});
+    result.body = response.reason + "\n";
+    return result;
 }
 
 } // namespace Sagecrank
--- a/Services/Node/Callers/CallerFrontend.h
+++ b/Services/Node/Callers/CallerFrontend.h
@@ -1,5 +1,5 @@
-// The HTTP side towards callers: a request becomes a call, the call's answer becomes a response whose status
-// and headers say what is known of its effect and when to come back.
+// The HTTP interface for callers. It turns a request into a call and the call's result into a response, whose
+// status and headers tell what is known about the call's effect and when to retry.
 #pragma once
 
 #include "ForwardedCall.h"
@@ -30,19 +30,21 @@
 
 struct CallerFrontendHooks
 {
-    // Nothing when no route matches. Reads the configuration snapshot; safe on every request thread.
+    // Returns nothing when no route matches. Reads the configuration snapshot; callable from every request
+    // thread.
     std::function<std::optional<RouteMatch>(std::string_view host, std::string_view method,
                                             std::string_view path)>
         route;
     std::function<bool()> hasConfiguration;
-    // Every call that got past its checks begins and ends once, answered or given up by its caller.
+    // Run once each for every valid request, which ends by its response or by the caller's disconnect.
     std::function<void()> callStarted;
     std::function<void()> callEnded;
 };
 
-// How long a call may take: what its caller asked for, else what its route says. A caller may ask for more
-// than the node's maximum only where the operators gave the route more themselves.
-Milliseconds callTimeout(std::optional<Milliseconds> asked, Milliseconds routes, Milliseconds maximum);
+// The timeout of a call: the one that the caller requested, or else the one of its route. A requested timeout
+// is limited to the node's maximum, or to the route's timeout if that is longer.
+Milliseconds callTimeout(std::optional<Milliseconds> requested, Milliseconds routeTimeout,
+                         Milliseconds maximum);
 
 class CallerFrontend
 {
@@ -51,20 +53,20 @@
     CallerFrontend(ForwardingContext &context, Milliseconds maximumTimeout, CallHeaders names,
                    std::string originService, CallerFrontendHooks hooks);
 
-    // Whether the request may be handled before those ahead of it on its connection are answered.
+    // Whether a pipelined request may run before earlier requests on its connection have been answered.
     bool mayPipeline(const HttpRequest &request) const;
     void handle(Worker &worker, HttpRequest request, std::shared_ptr<HttpExchange> exchange) const;
 
 private:
-    std::optional<RouteMatch> routeOf(const HttpRequest &request) const;
-    std::string_view problemOf(const HttpRequest &request) const;
+    std::optional<RouteMatch> findRoute(const HttpRequest &request) const;
+    std::string_view validate(const HttpRequest &request) const;
     void refuse(const HttpRequest &request, HttpExchange &exchange, std::uint32_t status,
                 std::string_view reason, std::uint32_t retryAfterMilliseconds) const;
     Instant firstArrived(std::uint64_t kind, const CallPlan &plan) const;
     CallRequest makeCall(HttpRequest request, const RouteMatch &route) const;
-    HttpResponse makeAnswer(CallResponse response, const std::string &traceParent,
-                            const std::string &callerCallId) const;
-    std::string retryAfterText(std::uint32_t milliseconds) const;
+    HttpResponse makeHttpResponse(CallResponse response, const std::string &traceParent,
+                                  const std::string &callerCallId) const;
+    std::string formatRetryAfter(std::uint32_t milliseconds) const;
 
     ForwardingContext &context;
     const Milliseconds maximumTimeout;
--- a/Services/Node/Callers/ForwardedCall.cpp
+++ b/Services/Node/Callers/ForwardedCall.cpp
@@ -1,4 +1,4 @@
-// Placing, sending, retrying and answering one call.
+// Implements upstream selection, sending, retries, hedging and completion of a call.
 #include "ForwardedCall.h"
 
 #include <Node/CallReasons.h>
@@ -10,20 +10,20 @@
 
 namespace {
 
-// A call that a gate refused before its upstream saw it may go on to another gate at most this often. It
-// costs no upstream anything, but under full load every gate refuses, and each try costs its caller a round
+// Limits retries at other gates after a gate refused the call before it reached the upstream. Such retries
+// cost the upstreams nothing, but under full load every gate refuses, and each retry costs the caller a round
 // trip.
-constexpr std::uint32_t maximumTriesAfterRefusal = 3;
+constexpr std::uint32_t maximumRetriesAfterRefusal = 3;
 
-// A call that an upstream itself proved not to have run may go to another one this often, whatever its route
-// says of calls that may have run.
-constexpr std::uint32_t maximumResendsAfterProof = 1;
+// Retries allowed when an upstream has proven that the call did not run, even if the route's limit for calls
+// that may have run is lower.
+constexpr std::uint32_t maximumRetriesAfterNotRun = 1;
 
-// The gate's time is cut a little shorter than the caller's, so that the gate's own word on a late call ("not
-// run" when it had not begun) arrives before this node has to answer "unknown".
-constexpr Duration gateMargin = Milliseconds(1);
+// The gate's deadline is slightly earlier than the caller's, so that the gate can still report a late call as
+// not run before this node has to report its outcome as unknown.
+constexpr Duration gateDeadlineMargin = Milliseconds(1);
 
-CallResponse refusal(std::string_view reason, Duration retryAfter)
+CallResponse makeRefusal(std::string_view reason, Duration retryAfter)
 {
     CallResponse response;
     response.outcome = Outcome::NotRun;
@@ -34,32 +34,32 @@
     return response;
 }
 
-// Said by this node of the connection to the other one.
-bool isOfConnection(const CallResponse &response)
+// Whether this node itself reported a failure of its connection to the peer.
+bool isConnectionFailure(const CallResponse &response)
 {
     return response.reason == reasonPeerUnreachable || response.reason == reasonPeerLost
            || response.reason == reasonPeerLeaving;
 }
 
-AttemptOutcome endOf(const CallResponse &response)
+AttemptOutcome toPlacedEnd(const CallResponse &response)
 {
     switch (response.outcome) {
     case Outcome::Done:
         return response.status >= 500 ? AttemptOutcome::Failed : AttemptOutcome::Succeeded;
     case Outcome::NotRun: {
-        const bool nothingThere = isOfConnection(response) || response.reason == reasonUnreachable;
+        const bool unreachable = isConnectionFailure(response) || response.reason == reasonUnreachable;
         if (response.reason == reasonQuarantined)
-            return AttemptOutcome::Cancelled; // Says nothing about the upstream.
-        return nothingThere ? AttemptOutcome::Failed : AttemptOutcome::RefusedNotRun;
+            return AttemptOutcome::Cancelled; // Not the upstream's fault.
+        return unreachable ? AttemptOutcome::Failed : AttemptOutcome::RefusedNotRun;
     }
     case Outcome::Unknown:
         break;
     }
-    // A key that another attempt holds says nothing about the upstream.
+    // A key held by another attempt is not the upstream's fault.
     return response.reason == reasonKeyInProgress ? AttemptOutcome::RefusedNotRun : AttemptOutcome::Unknown;
 }
 
-ReportedLoad toldBy(const CallResponse &response)
+ReportedLoad toToldLoad(const CallResponse &response)
 {
     ReportedLoad load;
     load.freeSlots = response.freeSlots;
@@ -74,12 +74,12 @@
 } // namespace
 
 ForwardedCall::ForwardedCall(ForwardingContext &context, Worker &worker, CallPlan plan, CallRequest request,
-                             ResponseCallback answer)
+                             ResponseCallback callback)
     : context(context)
     , worker(worker)
     , plan(std::move(plan))
     , request(std::move(request))
-    , answer(std::move(answer))
+    , callback(std::move(callback))
     , deadlineTimer(worker.ioContext())
     , hedgeTimer(worker.ioContext())
 {
@@ -90,11 +90,11 @@
     this->worker.addCall(*this);
     if (this->context.quarantine.remainingQuarantine) {
         if (const auto refused = this->context.quarantine.remainingQuarantine(this->request))
-            return this->finish(refusal(reasonQuarantined, *refused));
+            return this->finish(makeRefusal(reasonQuarantined, *refused));
     }
     if (!this->placeAndSend())
-        return this->finish(refusal(reasonNoUpstream, std::chrono::seconds(1)));
-    if (!this->answer)
+        return this->finish(makeRefusal(reasonNoUpstream, std::chrono::seconds(1)));
+    if (!this->callback)
         return;
     this->armDeadline();
     if (this->plan.hedged && this->plan.idempotent)
@@ -106,14 +106,14 @@
     Target target;
     if (!this->chooseTarget(target))
         return false;
-    this->triedIds.push_back(target.candidate.id);
+    this->triedUpstreamIds.push_back(target.candidate.id);
     if (!this->attempts.empty())
         this->context.observer.callSentAgain(this->request.callerCallId, target.candidate.id);
-    this->sendTo(std::move(target));
+    this->startAttempt(std::move(target));
     return true;
 }
 
-void ForwardedCall::sendTo(Target target)
+void ForwardedCall::startAttempt(Target target)
 {
     Attempt attempt;
     attempt.target = std::move(target);
@@ -122,22 +122,22 @@
     this->send(this->attempts.size() - 1);
 }
 
-// No gate would answer in time. The first one that stays, which is the nearest, is asked once more whether it
-// has room for a late answer.
-bool ForwardedCall::sendForLateAnswer()
+// No gate accepted the call within its latency target. Tries once more at the first gate that is not
+// draining, which is the nearest, and accepts a late response.
+bool ForwardedCall::retryAcceptingLateResponse()
 {
-    const auto nearest = std::ranges::find(this->attempts, false, &Attempt::leaves);
-    if (!this->plan.target || this->lateAnswerAsked || nearest == this->attempts.end()
+    const auto nearest = std::ranges::find(this->attempts, false, &Attempt::gateDraining);
+    if (!this->plan.target || this->lateResponseRequested || nearest == this->attempts.end()
         || nearest->target.lateAccepted)
         return false;
-    this->lateAnswerAsked = true;
+    this->lateResponseRequested = true;
     Target target = nearest->target;
     target.lateAccepted = true;
     {
         const std::lock_guard guard(this->service->mutex);
         this->service->placer.recordStart(target.candidate.id, SteadyClock::now());
     }
-    this->sendTo(std::move(target));
+    this->startAttempt(std::move(target));
     return true;
 }
 
@@ -149,10 +149,12 @@
         return false;
     this->service = service->state;
 
-    // The view may have changed since the last try, so what was tried is found again by name.
+    // The view may have changed since the last attempt, so tried candidates are looked up by id.
     std::vector<std::size_t> tried;
-    for (std::size_t index = 0; index < service->candidates.size() && !this->triedIds.empty(); ++index) {
-        if (std::ranges::find(this->triedIds, service->candidates[index].id) != this->triedIds.end())
+    for (std::size_t index = 0; index < service->candidates.size() && !this->triedUpstreamIds.empty();
+         ++index) {
+        if (std::ranges::find(this->triedUpstreamIds, service->candidates[index].id)
+            != this->triedUpstreamIds.end())
             tried.push_back(index);
     }
     const Instant now = SteadyClock::now();
@@ -168,7 +170,7 @@
     if (!index)
         return false;
     tried.push_back(*index);
-    // Nobody answers in time what is late already.
+    // A call that is already late cannot meet its target at any gate.
     target.lateAccepted = this->isLate(now) || !place().has_value();
     this->service->placer.recordStart(service->facts[*index].id, now);
     target.candidate = service->candidates[*index];
@@ -182,11 +184,11 @@
     CallRequest attempt = this->request;
     attempt.attemptId = this->context.ids.next();
     attempt.lateAccepted = target.lateAccepted;
-    const Duration remaining = this->plan.deadline - SteadyClock::now() - gateMargin;
+    const Duration remaining = this->plan.deadline - SteadyClock::now() - gateDeadlineMargin;
     attempt.remainingMicroseconds = static_cast<std::uint64_t>(
         std::max<std::int64_t>(0, std::chrono::duration_cast<Microseconds>(remaining).count()));
     if (this->plan.target) {
-        // At least one: an attempt whose target has passed is not one without a target.
+        // At least 1, since 0 means that the attempt has no target.
         const Duration left = *this->plan.target - SteadyClock::now();
         attempt.remainingTargetMicroseconds = static_cast<std::uint64_t>(
             std::max<std::int64_t>(1, std::chrono::duration_cast<Microseconds>(left).count()));
@@ -200,7 +202,7 @@
     attempt.traceParent = formatTraceParent(span.context());
     this->attempts[index].span = span;
     auto ended = [self = this->shared_from_this(), index](CallResponse response) {
-        self->attemptEnded(index, std::move(response));
+        self->handleAttemptResponse(index, std::move(response));
     };
     if (target.sameHost) {
         const auto call =
@@ -213,7 +215,7 @@
     this->attempts[index].peerCallId = link->call(std::move(attempt), std::move(ended));
 }
 
-void ForwardedCall::attemptEnded(std::size_t index, CallResponse response)
+void ForwardedCall::handleAttemptResponse(std::size_t index, CallResponse response)
 {
     Attempt &attempt = this->attempts[index];
     if (!attempt.open)
@@ -222,25 +224,25 @@
     const Instant now = SteadyClock::now();
     attempt.span->field("outcome", outcomeNames.name(response.outcome));
     attempt.span->end(now);
-    attempt.leaves = response.draining;
-    this->tellPlacer(attempt, response, now);
-    if (!this->answer)
+    attempt.gateDraining = response.draining;
+    this->reportToPlacer(attempt, response, now);
+    if (!this->callback)
         return;
-    const bool good = response.outcome == Outcome::Done && response.status < 500;
+    const bool succeeded = response.outcome == Outcome::Done && response.status < 500;
     this->mayHaveRun = this->mayHaveRun || response.outcome != Outcome::NotRun;
     if (response.reachedUpstream || response.outcome != Outcome::NotRun)
-        ++this->upstreamsReached;
-    if (!good) {
-        if (this->anyOpen())
-            return; // A second copy is under way and may still bring an answer.
-        // Before the next try: a gate beside this node may refuse it at once.
+        ++this->upstreamAttempts;
+    if (!succeeded) {
+        if (this->hasOpenAttempt())
+            return; // Another attempt is open and may still succeed.
+        // Set before the retry, since the local gate may refuse it synchronously.
         if (response.outcome == Outcome::Done)
-            this->upstreamFailure = response;
-        if (!this->ending && this->tryAgain(response, now))
+            this->upstreamErrorResponse = response;
+        if (!this->retriesDisabled && this->retry(response, now))
             return;
     }
-    // Failure: one attempt is lost, the next one is refused. Symptom: the refusal's "not run" would stand for
-    // a call whose first attempt ran. It is passed on only when it is true of every attempt.
+    // If one attempt was lost and the next one refused, the first may have run. NotRun is reported only when
+    // it holds for every attempt.
     if (response.outcome == Outcome::NotRun && this->mayHaveRun) {
         response.outcome = Outcome::Unknown;
         response.status = 504;
@@ -248,42 +250,42 @@
     this->finish(std::move(response));
 }
 
-void ForwardedCall::tellPlacer(const Attempt &attempt, const CallResponse &response, Instant now)
+void ForwardedCall::reportToPlacer(const Attempt &attempt, const CallResponse &response, Instant now)
 {
     const std::lock_guard guard(this->service->mutex);
     const Duration took = now - attempt.startedAt;
     this->service->placer.recordEnd(attempt.target.candidate.id, now, this->plan.callClass, took,
-                                    endOf(response), this->request.kind);
-    const bool gateSpoke = !isOfConnection(response) && response.reason != reasonPeerCongested;
-    if (gateSpoke)
-        this->service->placer.recordReportedLoad(attempt.target.candidate.id, now, toldBy(response),
+                                    toPlacedEnd(response), this->request.kind);
+    const bool gateResponded = !isConnectionFailure(response) && response.reason != reasonPeerCongested;
+    if (gateResponded)
+        this->service->placer.recordReportedLoad(attempt.target.candidate.id, now, toToldLoad(response),
                                                  this->request.kind);
     if (response.outcome == Outcome::Done && this->plan.hedged)
         this->service->hedge.observe(took);
 }
 
-// Load: an upstream fails or refuses. Harm of sending again without limit: the load doubles on what is left;
-// harm of sending again what may have run: a booking runs twice. Both rules stand in LibDecide.
-bool ForwardedCall::tryAgain(const CallResponse &response, Instant now)
+// Unlimited retries of failed or refused calls would double the load on the remaining upstreams, and retrying
+// a call that may have run could make a booking twice. LibDecide implements both rules.
+bool ForwardedCall::retry(const CallResponse &response, Instant now)
 {
     const bool notRun = response.outcome == Outcome::NotRun;
     const CallPhase phase = response.outcome == Outcome::Done ? CallPhase::Answered : CallPhase::MaybeSent;
     const bool runsOnce = !this->request.idempotencyKey.empty();
     if (!isRetrySafe(phase, this->plan.idempotent && !runsOnce, notRun))
         return false;
-    // Its key is claimed for the refused attempt and not free again yet.
+    // The refused attempt still holds the claim on the idempotency key.
     if (response.claimHeld)
         return false;
-    // No other gate takes it either.
+    // Every other gate would refuse it too.
     if (response.reason == reasonQuarantined)
         return false;
-    if (now + gateMargin >= this->plan.deadline)
+    if (now + gateDeadlineMargin >= this->plan.deadline)
         return false;
     if (notRun && !response.reachedUpstream)
-        return this->tryAfterRefusal();
+        return this->retryAfterRefusal();
     const std::uint32_t allowed =
-        notRun ? std::max(this->plan.maximumRetries, maximumResendsAfterProof) : this->plan.maximumRetries;
-    if (this->upstreamsReached > allowed)
+        notRun ? std::max(this->plan.maximumRetries, maximumRetriesAfterNotRun) : this->plan.maximumRetries;
+    if (this->upstreamAttempts > allowed)
         return false;
     bool withinBudget = false;
     {
@@ -296,24 +298,24 @@
     return false;
 }
 
-bool ForwardedCall::tryAfterRefusal()
+bool ForwardedCall::retryAfterRefusal()
 {
-    if (++this->refusals <= maximumTriesAfterRefusal && this->placeAndSend())
+    if (++this->refusalCount <= maximumRetriesAfterRefusal && this->placeAndSend())
         return true;
-    return this->sendForLateAnswer();
+    return this->retryAcceptingLateResponse();
 }
 
 void ForwardedCall::finish(CallResponse response)
 {
-    if (!this->answer)
+    if (!this->callback)
         return;
-    // Failure: an upstream answers with a failure, the call goes out again and finds no place or no time.
-    // Symptom: its caller is told "unknown" although there is an answer.
-    if (response.outcome != Outcome::Done && this->upstreamFailure)
-        response = std::move(*this->upstreamFailure);
-    this->noteRefused(response);
-    const ResponseCallback hook = std::move(this->answer);
-    this->answer = nullptr;
+    // If an upstream returned an error response and the retry was refused or timed out, the caller gets that
+    // response rather than an unknown outcome.
+    if (response.outcome != Outcome::Done && this->upstreamErrorResponse)
+        response = std::move(*this->upstreamErrorResponse);
+    this->recordRefusal(response);
+    const ResponseCallback onResponse = std::move(this->callback);
+    this->callback = nullptr;
     this->worker.removeCall(*this);
     this->deadlineTimer.cancel();
     this->hedgeTimer.cancel();
@@ -323,10 +325,10 @@
     summary.reason = response.reason;
     summary.status = response.status;
     this->context.observer.callEnded(summary);
-    hook(std::move(response));
+    onResponse(std::move(response));
 }
 
-void ForwardedCall::noteRefused(const CallResponse &response)
+void ForwardedCall::recordRefusal(const CallResponse &response)
 {
     if (response.outcome != Outcome::NotRun || !this->plan.callerDeadline)
         return;
@@ -342,8 +344,8 @@
     summary.callId = this->request.callerCallId;
     summary.route = this->plan.routeName;
     summary.cluster = this->plan.cluster;
-    if (!this->triedIds.empty())
-        summary.upstream = this->triedIds.back();
+    if (!this->triedUpstreamIds.empty())
+        summary.upstream = this->triedUpstreamIds.back();
     summary.configurationVersion = this->plan.configurationVersion;
     summary.attempts = this->attempts.size();
     summary.took = now - this->plan.arrived;
@@ -353,10 +355,10 @@
 
 void ForwardedCall::abandon()
 {
-    if (!this->answer)
+    if (!this->callback)
         return;
     this->context.observer.callAbandoned(this->summary());
-    this->answer = nullptr;
+    this->callback = nullptr;
     this->worker.removeCall(*this);
     this->deadlineTimer.cancel();
     this->hedgeTimer.cancel();
@@ -365,8 +367,8 @@
 
 void ForwardedCall::withdraw()
 {
-    this->ending = true;
-    // Taking one back may answer the call, and its attempts are then closed.
+    this->retriesDisabled = true;
+    // Withdrawing an attempt may complete the call, which closes its other attempts.
     for (const Attempt &attempt : this->attempts) {
         if (!attempt.open)
             continue;
@@ -423,8 +425,9 @@
     this->finish(std::move(response));
 }
 
-// Load: one upstream of many is slow. Harm: its callers wait while others stand idle. A second copy of an
-// idempotent call goes out once it is later than nearly all others were, within the budget of retries.
+// Hedging: when one of many upstreams is slow, its callers would wait while other upstreams are idle. A
+// second attempt of an idempotent call is sent once the first takes longer than nearly all recent calls,
+// within the retry budget.
 void ForwardedCall::armHedge()
 {
     std::optional<Duration> delay;
@@ -436,7 +439,7 @@
         return;
     this->hedgeTimer.expires_after(*delay);
     this->hedgeTimer.async_wait([self = this->shared_from_this()](const boost::system::error_code &error) {
-        if (error || !self->answer || !self->anyOpen())
+        if (error || !self->callback || !self->hasOpenAttempt())
             return;
         bool allowed = false;
         {
@@ -448,7 +451,7 @@
     });
 }
 
-bool ForwardedCall::anyOpen() const
+bool ForwardedCall::hasOpenAttempt() const
 {
     return std::ranges::any_of(this->attempts, [](const Attempt &attempt) { return attempt.open; });
 }
--- a/Services/Node/Callers/ForwardedCall.h
+++ b/Services/Node/Callers/ForwardedCall.h
@@ -1,4 +1,5 @@
-// One caller's call on its way: placed, sent, perhaps sent again, answered exactly once.
+// A caller's call in progress: selects an upstream, sends the call, retries or hedges it, and completes it
+// exactly once.
 #pragma once
 
 #include "CallIds.h"
@@ -22,7 +23,8 @@
 
 namespace Sagecrank {
 
-// What the route says of a call, copied so that no snapshot is held while the call waits.
+// The route's settings for a call, copied so that no configuration snapshot is held while the call is in
+// progress.
 struct CallPlan
 {
     std::string cluster;
@@ -34,12 +36,14 @@
     std::string routeName;
     Instant arrived;
     Instant deadline;
-    std::optional<Instant> target;         // An answer after it is worth less to the caller.
-    std::optional<Instant> callerDeadline; // When the caller goes, if it said so.
-    Instant firstArrived;                  // Its first try; `arrived` unless it was refused and came back.
+    std::optional<Instant> target;         // Latency target; a later response is worth less to the caller.
+    std::optional<Instant> callerDeadline; // The deadline that the caller stated, if any.
+    // The arrival of the caller's first try; differs from `arrived` if that was refused and the caller
+    // retries.
+    Instant firstArrived;
 };
 
-// The callers that this node has refused, shared by its request threads.
+// Callers that this node has refused and that may retry; shared by the request threads.
 struct RefusedCallers
 {
     std::mutex mutex;
@@ -64,27 +68,27 @@
 public:
     using ResponseCallback = std::function<void(CallResponse)>;
 
-    // `request` carries everything but the numbers of an attempt.
+    // `request` contains everything except the fields that differ between attempts.
     ForwardedCall(ForwardingContext &context, Worker &worker, CallPlan plan, CallRequest request,
-                  ResponseCallback answer);
+                  ResponseCallback callback);
 
     void start();
 
-    // The caller has gone: nothing is answered any more, and what may be cut off is.
+    // The caller has disconnected: cancels all attempts and drops the callback.
     void abandon();
 
-    // This node is about to end. First each call that has not begun anywhere is taken back and refused; in
-    // the end what still runs is answered "unknown", since no answer can be passed on any more.
+    // For shutdown. withdraw() cancels attempts that have not started, whose calls are then refused.
+    // finishAsUnknown() completes a call that still runs, since its response could no longer be delivered.
     void withdraw();
     void finishAsUnknown();
 
 private:
-    // Where an attempt goes, copied out of the view.
+    // The destination of an attempt, copied from the view.
     struct Target
     {
         Candidate candidate;
         bool sameHost = false;
-        bool lateAccepted = true; // There is no other place to try.
+        bool lateAccepted = true; // No other gate is left to try.
     };
 
     struct Attempt
@@ -92,46 +96,46 @@
         Target target;
         Instant startedAt;
         bool open = true;
-        std::shared_ptr<GateCall> local; // Set when the upstream is beside this node.
-        std::shared_ptr<PeerLink> link;  // Set when it is beside another.
-        std::uint64_t peerCallId = 0;    // On the link.
-        std::optional<Span> span;        // Set from its sending on.
-        bool leaves = false;             // Its gate said that it takes nothing new.
+        std::shared_ptr<GateCall> local; // Set when the upstream is on this host.
+        std::shared_ptr<PeerLink> link;  // Set when it is on another host.
+        std::uint64_t peerCallId = 0;    // The call's id on the link.
+        std::optional<Span> span;        // Set once the attempt has been sent.
+        bool gateDraining = false;       // The gate reported that it accepts no new calls.
     };
 
     bool placeAndSend();
-    void sendTo(Target target);
-    bool tryAfterRefusal();
-    bool sendForLateAnswer();
+    void startAttempt(Target target);
+    bool retryAfterRefusal();
+    bool retryAcceptingLateResponse();
     bool chooseTarget(Target &target);
     void send(std::size_t index);
-    void attemptEnded(std::size_t index, CallResponse response);
-    void tellPlacer(const Attempt &attempt, const CallResponse &response, Instant now);
-    bool tryAgain(const CallResponse &response, Instant now);
+    void handleAttemptResponse(std::size_t index, CallResponse response);
+    void reportToPlacer(const Attempt &attempt, const CallResponse &response, Instant now);
+    bool retry(const CallResponse &response, Instant now);
     void finish(CallResponse response);
-    void noteRefused(const CallResponse &response);
+    void recordRefusal(const CallResponse &response);
     bool isLate(Instant now) const { return this->plan.target && now >= *this->plan.target; }
     void finishUnknown(std::string_view reason);
     void cancelOpenAttempts();
     void armDeadline();
     void armHedge();
-    bool anyOpen() const;
+    bool hasOpenAttempt() const;
     CallSummary summary() const;
 
     ForwardingContext &context;
     Worker &worker;
     const CallPlan plan;
     const CallRequest request;
-    ResponseCallback answer; // Empty once answered or abandoned.
+    ResponseCallback callback; // Empty once the call is completed or abandoned.
     std::shared_ptr<ServiceState> service;
     std::vector<Attempt> attempts;
-    std::vector<std::string> triedIds;
-    std::optional<CallResponse> upstreamFailure; // The last answer of an upstream that was a failure.
-    bool ending = false;                         // It is not sent again.
-    bool lateAnswerAsked = false;                // Of a gate that had refused.
-    bool mayHaveRun = false;                     // Some attempt ended otherwise than "not run".
-    std::uint32_t refusals = 0;                  // By gates, before an upstream saw the call.
-    std::uint32_t upstreamsReached = 0;          // Attempts that were sent to an upstream, or may have been.
+    std::vector<std::string> triedUpstreamIds;
+    std::optional<CallResponse> upstreamErrorResponse; // The last 5xx response.
+    bool retriesDisabled = false;                      // Set during shutdown.
+    bool lateResponseRequested = false;                // From a gate that had refused the call.
+    bool mayHaveRun = false;                           // Some attempt had an outcome other than NotRun.
+    std::uint32_t refusalCount = 0;                    // By gates, before the call reached an upstream.
+    std::uint32_t upstreamAttempts = 0;                // Attempts that reached an upstream, or may have.
     boost::asio::steady_timer deadlineTimer;
     boost::asio::steady_timer hedgeTimer;
 };
--- a/Services/Node/Callers/ServiceState.h
+++ b/Services/Node/Callers/ServiceState.h
@@ -1,5 +1,5 @@
-// What a node has learnt about one service from its own calls, shared by all request threads and kept while
-// the views of who is present come and go.
+// What a node has learnt about a service from its own calls. Shared by all request threads and kept across
+// rebuilds of the upstream view.
 #pragma once
 
 #include <LibDecide/LoadBalancer.h>
@@ -12,7 +12,7 @@
 
 struct ServiceState
 {
-    // `retryReserve`: a service that is hardly called may still retry this often in ten seconds.
+    // `retryReserve` is the number of retries in ten seconds allowed even to a service with hardly any calls.
     ServiceState(LoadBalancerSettings placing, double retryShare, double retryReserve,
                  std::function<std::uint64_t()> random)
         : placer(placing, std::move(random))
--- a/Services/Node/Callers/UpstreamView.cpp
+++ b/Services/Node/Callers/UpstreamView.cpp
@@ -1,4 +1,4 @@
-// Builds views from the members that gossip knows.
+// Implements building views from the gossip membership.
 #include "UpstreamView.h"
 
 #include <Node/Upstream/UpstreamPresence.h>
@@ -7,8 +7,8 @@
 
 namespace {
 
-// A suspect is still used: the load balancer avoids it by what its own calls show, and one lost probe shall
-// not take an upstream out everywhere. A node that is dead or has left takes no calls.
+// Suspected members stay available: the load balancer avoids them if its own calls fail, and a single lost probe
+// must not remove an upstream on all nodes. Members that are dead or have left receive no calls.
 UpstreamCondition conditionOfMember(const Member &member)
 {
     if (member.state == MemberState::Dead || member.state == MemberState::Left)
@@ -16,7 +16,7 @@
     return conditionOf(member.upstream);
 }
 
-bool takesCalls(UpstreamCondition condition)
+bool isAvailable(UpstreamCondition condition)
 {
     return condition == UpstreamCondition::Warming || condition == UpstreamCondition::Ready;
 }
@@ -58,7 +58,7 @@
     auto view = std::make_unique<UpstreamView>();
     for (const Member &member : members) {
         const UpstreamCondition condition = conditionOfMember(member);
-        if (member.cluster.empty() || !takesCalls(condition))
+        if (member.cluster.empty() || !isAvailable(condition))
             continue;
         std::unique_ptr<ServiceView> &service = view->services[member.cluster];
         if (!service) {
@@ -72,7 +72,7 @@
         service->facts.push_back(
             {{}, member.zone == this->ownZone, member.id == this->ownId, condition, member.slots});
     }
-    // The candidates have their final places now, so views into their ids stay good.
+    // The candidate vectors no longer change, so views into their ids stay valid.
     for (const auto &[cluster, service] : view->services) {
         for (std::size_t index = 0; index < service->candidates.size(); ++index)
             service->facts[index].id = service->candidates[index].id;
--- a/Services/Node/Callers/UpstreamView.h
+++ b/Services/Node/Callers/UpstreamView.h
@@ -1,5 +1,5 @@
-// Who is present, cut for the request path: the candidates of each service. A view is built on the control
-// thread and never changed afterwards.
+// The available upstreams of each service, prepared for the request path. A view is built on the control
+// thread and immutable afterwards.
 #pragma once
 
 #include "ServiceState.h"
@@ -24,7 +24,7 @@
 {
     std::shared_ptr<ServiceState> state;
     std::vector<Candidate> candidates;
-    std::vector<UpstreamCandidate> facts; // In the candidates' order; ids point into them.
+    std::vector<UpstreamCandidate> facts; // Parallel to `candidates`; their ids are views into it.
 };
 
 class UpstreamView
@@ -37,7 +37,7 @@
     std::unordered_map<std::string, std::unique_ptr<ServiceView>> services;
 };
 
-// Keeps the state of each service from view to view.
+// Builds views and keeps the state of each service across them.
 class UpstreamViewBuilder
 {
 public:
@@ -47,10 +47,10 @@
 
     std::unique_ptr<const UpstreamView> build(const std::vector<Member> &members);
 
-    // The nodes that share an allowance of retries, and each service's part of it for this node.
+    // Sets this node's part of the retry reserve that the nodes share, for each service.
     void setRetryReserve(double reserve);
 
-    // Drops what was learnt of upstreams that no call has used since.
+    // Drops the statistics of upstreams that no call has used since `before`.
     void forgetUnused(Instant before);
 
 private:
--- a/Services/Node/Callers/Worker.cpp
+++ b/Services/Node/Callers/Worker.cpp
@@ -1,4 +1,4 @@
-// Starting and ending a request thread.
+// Implements starting and shutting down a request thread.
 #include "Worker.h"
 
 #include "ForwardedCall.h"
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr Duration peersCheckInterval = Milliseconds(10);
+constexpr Duration peerCheckInterval = Milliseconds(10);
 
 HttpClientSettings upstreamClientSettings(const NodeSettings &settings)
 {
@@ -45,7 +45,7 @@
                        handle(*this, std::move(request), std::move(exchange));
                    })
     , peerServer(RequestThread{this->context, this->client}, gate, bodies, observer)
-    , peersTimer(this->context)
+    , peerTimer(this->context)
 {
 }
 
@@ -75,13 +75,14 @@
         this->thread.join();
 }
 
-// Failure: a node that ends takes a full path for a dead peer. Symptom: it answers for calls at which
-// upstreams are at work, and its callers have no other node to ask. They keep their deadlines.
+// During shutdown, a congested path must not be mistaken for a dead peer: the node would end calls that
+// upstreams still work on, and their callers have no other node to ask. The calls still end at their
+// deadlines.
 void Worker::beginShutdown()
 {
     boost::asio::post(this->context, [this] {
         this->callerServer.disableKeepAlive();
-        this->ending = true;
+        this->shuttingDown = true;
         for (const auto &[address, link] : this->links)
             link->disableSilenceTimeout();
     });
@@ -95,7 +96,7 @@
 void Worker::rejectNewCalls(std::function<void()> done)
 {
     boost::asio::post(this->context, [this, done = std::move(done)] {
-        this->refusing = true;
+        this->rejecting = true;
         done();
     });
 }
@@ -103,29 +104,29 @@
 void Worker::withdrawPendingCalls()
 {
     boost::asio::post(this->context, [this] {
-        for (const auto &call : this->openCalls())
+        for (const auto &call : this->pendingCalls())
             call->withdraw();
     });
 }
 
-void Worker::finishCalls(Duration longestWait, std::function<void()> done)
+void Worker::finishCalls(Duration maximumWait, std::function<void()> done)
 {
-    boost::asio::post(this->context, [this, longestWait, done = std::move(done)]() mutable {
-        for (const auto &call : this->openCalls())
+    boost::asio::post(this->context, [this, maximumWait, done = std::move(done)]() mutable {
+        for (const auto &call : this->pendingCalls())
             call->finishAsUnknown();
         this->peerServer.goAway();
-        this->awaitPeers(SteadyClock::now() + longestWait, std::move(done));
+        this->waitForPeers(SteadyClock::now() + maximumWait, std::move(done));
     });
 }
 
-void Worker::awaitPeers(Instant until, std::function<void()> done)
+void Worker::waitForPeers(Instant until, std::function<void()> done)
 {
     if (this->peerServer.pendingCloses() == 0 || SteadyClock::now() >= until)
         return done();
-    this->peersTimer.expires_after(peersCheckInterval);
-    this->peersTimer.async_wait(
+    this->peerTimer.expires_after(peerCheckInterval);
+    this->peerTimer.async_wait(
         [this, until, done = std::move(done)](const boost::system::error_code &) mutable {
-            this->awaitPeers(until, std::move(done));
+            this->waitForPeers(until, std::move(done));
         });
 }
 
@@ -135,8 +136,8 @@
            && this->peerServer.connectionsWithUnsentResponses() == 0;
 }
 
-// Kept alive while each of them may end others and itself.
-std::vector<std::shared_ptr<ForwardedCall>> Worker::openCalls() const
+// Returns owning pointers, since ending a call may destroy it and others.
+std::vector<std::shared_ptr<ForwardedCall>> Worker::pendingCalls() const
 {
     std::vector<std::shared_ptr<ForwardedCall>> open;
     for (ForwardedCall *call : this->calls)
@@ -151,12 +152,13 @@
     });
 }
 
-// Failure: a path goes silent for good while this node waits through silence. Symptom: every new call on it
-// waits to its deadline. What is under way there may still be answered; new calls go beside it.
+// During shutdown the silence timeout is disabled, so new calls on a path that is silent for good would wait
+// until their deadlines. New calls use a new link; pending ones stay on the old one and may still be
+// answered.
 std::shared_ptr<PeerLink> Worker::link(const std::string &peerAddress)
 {
     std::shared_ptr<PeerLink> &link = this->links[peerAddress];
-    if (!link || (this->ending && link->isSilent(SteadyClock::now())))
+    if (!link || (this->shuttingDown && link->isSilent(SteadyClock::now())))
         link = this->makeLink(peerAddress);
     return link;
 }
@@ -170,7 +172,7 @@
     auto link = std::make_shared<PeerLink>(
         this->context, peerAddress, peer,
         [this, peerAddress](const Error &reason) { this->observer.peerLost(peerAddress, reason); });
-    if (this->ending)
+    if (this->shuttingDown)
         link->disableSilenceTimeout();
     return link;
 }
--- a/Services/Node/Callers/Worker.h
+++ b/Services/Node/Callers/Worker.h
@@ -1,5 +1,5 @@
-// One request thread: its io_context, its connections to other nodes and to the upstream, and its listeners.
-// Calls stay on the thread that took them, so nothing of a call needs a lock.
+// A request thread with its io_context, its connections to other nodes and to the upstream, and its
+// listeners. A call stays on the thread that accepted it, so its state needs no locks.
 #pragma once
 
 #include <Node/Gate/LocalGate.h>
@@ -28,7 +28,7 @@
 
 class Worker;
 
-// What a worker's callers meet; all are asked for each request.
+// Hooks of a worker's HTTP server, called for each request.
 struct CallerHooks
 {
     std::function<HttpLimits()> limits;
@@ -47,36 +47,36 @@
 
     Result<void> listen();
     void start();
-    void stop(); // Ends the thread; calls that are under way end with their connections.
+    void stop(); // Stops the thread; pending calls are dropped with their connections.
 
-    // From any thread.
-    void beginShutdown(); // Callers are asked to close; calls to other nodes are waited for.
+    // Callable from any thread.
+    void beginShutdown(); // Callers are told to close; silent peers keep their pending calls.
     void stopAccepting();
     void withdrawPendingCalls();
-    // All that is read from now on is refused; `done` runs on its thread once that holds.
+    // Rejects every request read from now on; `done` runs on the worker's thread once this is in effect.
     void rejectNewCalls(std::function<void()> done);
-    // Answers all that is under way and takes leave of the other nodes, and waits so long at most for those
-    // to read their last answers; `done` runs on its thread.
-    void finishCalls(Duration longestWait, std::function<void()> done);
-    bool allResponsesSent() const; // Nothing that was taken waits for its answer to leave.
+    // Completes all pending calls and sends GoAway to the peers. Waits up to `maximumWait` for them to read
+    // their last responses; then `done` runs on the worker's thread.
+    void finishCalls(Duration maximumWait, std::function<void()> done);
+    bool allResponsesSent() const; // No accepted call has an unsent response.
 
     boost::asio::io_context &ioContext() { return this->context; }
     RequestThread gateHome() { return {this->context, this->client}; }
 
-    // Drops connections to nodes that no call has used since.
+    // Drops links to nodes that no call has used since `before`.
     void forgetUnused(Instant before);
 
-    // On the worker's own thread.
-    bool rejectsNewCalls() const { return this->refusing; }
-    // Calls keep theirs until they end; another one may take its place meanwhile.
+    // Call on the worker's thread.
+    bool rejectsNewCalls() const { return this->rejecting; }
+    // Calls keep the link that they were sent on, even if it has been replaced since.
     std::shared_ptr<PeerLink> link(const std::string &peerAddress);
     void addCall(ForwardedCall &call) { this->calls.insert(&call); }
     void removeCall(ForwardedCall &call) { this->calls.erase(&call); }
 
 private:
-    std::vector<std::shared_ptr<ForwardedCall>> openCalls() const;
+    std::vector<std::shared_ptr<ForwardedCall>> pendingCalls() const;
     std::shared_ptr<PeerLink> makeLink(const std::string &peerAddress);
-    void awaitPeers(Instant until, std::function<void()> done);
+    void waitForPeers(Instant until, std::function<void()> done);
 
     const NodeSettings &settings;
     RequestObserver &observer;
@@ -86,10 +86,10 @@
     HttpServer callerServer;
     PeerServer peerServer;
     std::unordered_map<std::string, std::shared_ptr<PeerLink>> links; // By peer address.
-    boost::asio::steady_timer peersTimer;
-    bool ending = false;
-    bool refusing = false;
-    std::unordered_set<ForwardedCall *> calls; // Not answered yet; each takes itself out.
+    boost::asio::steady_timer peerTimer;
+    bool shuttingDown = false;
+    bool rejecting = false;
+    std::unordered_set<ForwardedCall *> calls; // Pending; each removes itself.
     std::thread thread;
 };
 
--- a/Tests/Node/TestCallTimeout.cpp
+++ b/Tests/Node/TestCallTimeout.cpp
@@ -1,4 +1,4 @@
-// How long a call may take, by its caller, its route and the node's maximum.
+// The timeout of a call, from its caller, its route and the node's maximum.
 #include <Node/Callers/CallerFrontend.h>
 
 #include <Support/TableTest.h>
@@ -10,8 +10,8 @@
 struct TimeoutRow
 {
     const char *what;
-    int asked; // Milliseconds; zero when the caller named none.
-    int routes;
+    int requested; // Milliseconds; zero when the caller states none.
+    int routeTimeout;
     int maximum;
     int expected;
 };
@@ -21,18 +21,20 @@
     {"the caller asks for less", 300, 800, 30000, 300},
     {"the caller asks for more", 5000, 800, 30000, 5000},
     {"the caller asks for more than the node's maximum", 90000, 800, 30000, 30000},
-    // An operator lets a nightly pull take a minute. The node's maximum is for callers and must not cut it.
+    // The node's maximum limits callers and must not shorten a route's own timeout, such as a minute for a
+    // nightly pull.
     {"the route has more than the node's maximum", 0, 60000, 30000, 60000},
     {"and its caller asks for even more", 90000, 60000, 30000, 60000},
 };
 
 } // namespace
 
-TABLE_TEST(callTimeout, isTheCallersWithinBounds, timeoutRows)
+TABLE_TEST(callTimeout, isTheRequestedOneWithinLimits, timeoutRows)
 {
-    std::optional<Milliseconds> asked;
-    if (row.asked > 0)
-        asked = Milliseconds(row.asked);
-    const Milliseconds got = callTimeout(asked, Milliseconds(row.routes), Milliseconds(row.maximum));
+    std::optional<Milliseconds> requested;
+    if (row.requested > 0)
+        requested = Milliseconds(row.requested);
+    const Milliseconds got =
+        callTimeout(requested, Milliseconds(row.routeTimeout), Milliseconds(row.maximum));
     cr_assert(got == Milliseconds(row.expected), "%s", row.what);
 }
--- a/Tests/Node/TestForwardedCall.cpp
+++ b/Tests/Node/TestForwardedCall.cpp
@@ -1,5 +1,4 @@
-// A caller's call between placing and answer, with two upstreams on other hosts: what is sent again, what is
-// not, and what the caller is told.
+// Forwarding a call to two upstreams on other hosts: which calls are retried and what the caller is told.
 #include "FakePeer.h"
 
 #include <LibDecide/Gate.h>
@@ -64,8 +63,8 @@
         return condition();
     }
 
-    // The peer that was sent the first call; the other one is 1 - first().
-    std::size_t first() const { return this->peers[0].calls.empty() ? 1 : 0; }
+    // The index of the peer that received the first call; the other one is 1 - firstPeer().
+    std::size_t firstPeer() const { return this->peers[0].calls.empty() ? 1 : 0; }
     std::size_t callsSent() const { return this->peers[0].calls.size() + this->peers[1].calls.size(); }
 
     RcuThread reader;
@@ -91,7 +90,7 @@
     RcuPointer<UpstreamView> view;
     CallIds ids{"node"};
     RefusedCallers refusedCallers;
-    std::optional<Duration> refusedFor; // What the quarantine says of every call.
+    std::optional<Duration> refusedFor; // Set: every call is quarantined for this long.
     ForwardingContext forwarding{"node",
                                  this->gate,
                                  this->view,
@@ -144,15 +143,16 @@
 
 } // namespace
 
-// The host of a running call dies and its outcome is unknown. A lookup goes to another host; a booking must
-// not, for it may have been made, so its caller is told "unknown" at once and when to come back.
-TABLE_TEST(forwardedCall, lostCallGoesOutAgainOnlyWhenThatIsHarmless, lostRows)
+// The host of a running call dies and the call's outcome is unknown. A lookup is retried on another host. A
+// booking may have been made, so its caller gets an unknown outcome at once, with the time after which to
+// retry.
+TABLE_TEST(forwardedCall, aLostCallIsRetriedOnlyIfIdempotent, lostRows)
 {
     ForwardFixture fixture;
     fixture.call(ForwardFixture::plan(row.idempotent), row.key);
     cr_assert(fixture.runUntil([&] { return fixture.callsSent() == 1; }));
-    const std::size_t first = fixture.first();
-    fixture.peers[first].connections[0]->close(makeError(ErrorKind::Unavailable, "test", "", "killed"));
+    const std::size_t firstPeer = fixture.firstPeer();
+    fixture.peers[firstPeer].connections[0]->close(makeError(ErrorKind::Unavailable, "test", "", "killed"));
     cr_assert(fixture.runUntil([&] { return fixture.answer || fixture.callsSent() == 2; }));
     cr_assert((fixture.callsSent() == 2) == row.sentAgain, "%s", row.what);
     if (!row.sentAgain) {
@@ -160,86 +160,86 @@
         cr_assert(fixture.answer->retryAfterMilliseconds > 0);
         return;
     }
-    fixture.peers[1 - first].answer(0, "second");
+    fixture.peers[1 - firstPeer].answer(0, "second");
     cr_assert(fixture.runUntil([&] { return fixture.answer.has_value(); }));
     cr_assert(fixture.answer->body == "second");
 }
 
-// A full gate refuses a call as not run. Any call may go to another gate then, except one whose key is still
-// claimed for the refused attempt: the second attempt would meet that claim and end as "unknown" for no
-// reason.
-TABLE_TEST(forwardedCall, refusedCallGoesElsewhere, refusedRows)
+// A full gate refuses a call as not run. Any call may then be retried at another gate, except one whose
+// idempotency key is still claimed by the refused attempt: the retry would conflict with that claim and
+// needlessly end as unknown.
+TABLE_TEST(forwardedCall, aRefusedCallIsRetriedElsewhere, refusedRows)
 {
     ForwardFixture fixture;
     fixture.call(ForwardFixture::plan(row.idempotent), row.claimHeld ? "key-1" : "");
     cr_assert(fixture.runUntil([&] { return fixture.callsSent() == 1; }));
-    const std::size_t first = fixture.first();
-    fixture.peers[first].refuse(0, row.claimHeld);
+    const std::size_t firstPeer = fixture.firstPeer();
+    fixture.peers[firstPeer].refuse(0, row.claimHeld);
     cr_assert(fixture.runUntil([&] { return fixture.answer || fixture.callsSent() == 2; }));
     cr_assert((fixture.callsSent() == 2) == row.sentAgain, "%s", row.what);
     if (row.sentAgain) {
-        cr_assert(fixture.peers[1 - first].calls.size() == 1, "the same gate was asked twice");
+        cr_assert(fixture.peers[1 - firstPeer].calls.size() == 1, "the same gate was asked twice");
         return;
     }
     cr_assert(fixture.answer->outcome == Outcome::NotRun);
     cr_assert(fixture.answer->retryAfterMilliseconds == 70);
 }
 
-// Every gate refuses. The caller is told so after a bounded number of tries, and not when its deadline comes.
+// Every gate refuses. The caller is told after a bounded number of attempts rather than at its deadline.
 Test(forwardedCall, givesUpWhenEveryGateRefuses)
 {
     ForwardFixture fixture;
     fixture.call(ForwardFixture::plan(true));
     cr_assert(fixture.runUntil([&] { return fixture.callsSent() == 1; }));
-    const std::size_t first = fixture.first();
-    fixture.peers[first].refuse(0, false);
+    const std::size_t firstPeer = fixture.firstPeer();
+    fixture.peers[firstPeer].refuse(0, false);
     cr_assert(fixture.runUntil([&] { return fixture.callsSent() == 2; }));
-    fixture.peers[1 - first].refuse(0, false);
+    fixture.peers[1 - firstPeer].refuse(0, false);
     cr_assert(fixture.runUntil([&] { return fixture.answer.has_value(); }));
     cr_assert(fixture.answer->outcome == Outcome::NotRun);
     cr_assert(SteadyClock::now()
               < ForwardFixture::plan(true, Milliseconds(0)).deadline + std::chrono::seconds(25));
 }
 
-// A lookup's host dies while the call runs, it goes out again, and every other gate refuses it. The caller
-// must not be told "not run" because of the last refusal: the first attempt may have run.
+// A lookup's host dies while the call runs, and every gate refuses the retry. The outcome must not be "not
+// run" because of the last refusal, since the first attempt may have run.
 Test(forwardedCall, aRefusalAfterALostAttemptIsUnknown)
 {
     ForwardFixture fixture;
     fixture.call(ForwardFixture::plan(true));
     cr_assert(fixture.runUntil([&] { return fixture.callsSent() == 1; }));
-    const std::size_t first = fixture.first();
-    fixture.peers[first].connections[0]->close(makeError(ErrorKind::Unavailable, "test", "", "killed"));
+    const std::size_t firstPeer = fixture.firstPeer();
+    fixture.peers[firstPeer].connections[0]->close(makeError(ErrorKind::Unavailable, "test", "", "killed"));
     cr_assert(fixture.runUntil([&] { return fixture.callsSent() == 2; }));
-    fixture.peers[1 - first].refuse(0, false);
+    fixture.peers[1 - firstPeer].refuse(0, false);
     cr_assert(fixture.runUntil([&] { return fixture.answer.has_value() || fixture.callsSent() == 3; }));
     if (!fixture.answer)
-        fixture.peers[fixture.peers[first].calls.size() > 1 ? first : 1 - first].refuse(1, false);
+        fixture.peers[fixture.peers[firstPeer].calls.size() > 1 ? firstPeer : 1 - firstPeer].refuse(1, false);
     cr_assert(fixture.runUntil([&] { return fixture.answer.has_value(); }));
     cr_assert(fixture.answer->outcome == Outcome::Unknown);
     cr_assert(fixture.answer->status == 504);
     cr_assert(fixture.answer->retryAfterMilliseconds > 0);
 }
 
-// A lookup's upstream answers 500, it goes out again, and every other gate refuses it. The caller gets the
-// answer that there is, and not an "unknown" of the node's own.
-Test(forwardedCall, aRefusalAfterAFailureLeavesTheUpstreamsAnswer)
+// A lookup's upstream responds with 500, and every gate refuses the retry. The caller gets the upstream's
+// response and not an unknown outcome.
+Test(forwardedCall, aRefusalAfterAnErrorKeepsTheUpstreamsResponse)
 {
     ForwardFixture fixture;
     fixture.call(ForwardFixture::plan(true));
     cr_assert(fixture.runUntil([&] { return fixture.callsSent() == 1; }));
-    const std::size_t first = fixture.first();
-    fixture.peers[first].answer(0, "no tour today", 500);
+    const std::size_t firstPeer = fixture.firstPeer();
+    fixture.peers[firstPeer].answer(0, "no tour today", 500);
     cr_assert(fixture.runUntil([&] { return fixture.callsSent() == 2; }));
-    fixture.peers[1 - first].refuse(0, false);
+    fixture.peers[1 - firstPeer].refuse(0, false);
     cr_assert(fixture.runUntil([&] { return fixture.answer.has_value(); }));
     cr_assert(fixture.answer->outcome == Outcome::Done);
     cr_assert(fixture.answer->status == 500 && fixture.answer->body == "no tour today");
 }
 
-// A call is still running at its caller's deadline. The caller gets its final answer then, and the other node
-// is told that nobody waits.
-Test(forwardedCall, deadlineAnswersAndCancels)
+// A call is still running at its deadline. The caller gets its final response then, and the attempt is
+// cancelled at the peer.
+Test(forwardedCall, deadlineCompletesAndCancels)
 {
     ForwardFixture fixture;
     fixture.call(ForwardFixture::plan(true, Milliseconds(2000)));
@@ -247,7 +247,7 @@
     cr_assert(fixture.runUntil([&] { return fixture.answer.has_value(); }));
     cr_assert(fixture.answer->outcome == Outcome::Unknown);
     cr_assert(fixture.answer->status == 504);
-    cr_assert(fixture.runUntil([&] { return fixture.peers[fixture.first()].cancels == 1; }));
+    cr_assert(fixture.runUntil([&] { return fixture.peers[fixture.firstPeer()].cancels == 1; }));
 }
 
 Test(forwardedCall, noUpstreamIsNotRun)
@@ -260,22 +260,22 @@
     cr_assert(fixture.answer->reason == "no_upstream_present");
 }
 
-// The caller gives up. The other node hears of it, and a late answer goes nowhere.
+// The caller disconnects. The attempt is cancelled at the peer, and its response is dropped.
 Test(forwardedCall, abandonedCallIsCancelled)
 {
     ForwardFixture fixture;
     fixture.call(ForwardFixture::plan(true));
     cr_assert(fixture.runUntil([&] { return fixture.callsSent() == 1; }));
     fixture.forwarded->abandon();
-    const std::size_t first = fixture.first();
-    cr_assert(fixture.runUntil([&] { return fixture.peers[first].cancels == 1; }));
+    const std::size_t firstPeer = fixture.firstPeer();
+    cr_assert(fixture.runUntil([&] { return fixture.peers[firstPeer].cancels == 1; }));
     cr_assert(!fixture.answer);
-    cr_assert(fixture.service->placer.outstanding("host-" + std::to_string(first)) == 0);
+    cr_assert(fixture.service->placer.outstanding("host-" + std::to_string(firstPeer)) == 0);
 }
 
-// One upstream is slow. After the time in which nearly all calls were answered a second copy goes to the
-// other one; its answer is the caller's, and the slow copy is cancelled.
-Test(forwardedCall, hedgeTakesTheFirstAnswer)
+// One upstream is slow. After the time in which nearly all calls complete, a hedged attempt goes to the other
+// one; the caller gets its response, and the slow attempt is cancelled.
+Test(forwardedCall, hedgingUsesTheFirstResponse)
 {
     ForwardFixture fixture;
     for (int seen = 0; seen < 1000; ++seen)
@@ -292,15 +292,15 @@
     cr_assert(fixture.runUntil([&] { return fixture.peers[0].cancels == 1; }));
 }
 
-// A host is restarted while a call of its caller waits at another host for longer than the host has. The call
-// is taken back there, and its caller is told that it has not run; before, its connection ended without a
-// word.
-Test(forwardedCall, aNodeThatEndsTakesBackWhatWaits)
+// A node restarts while its caller's call is queued at another host for longer than the shutdown may take.
+// The call is withdrawn there and reported as not run. Without that, the caller's connection would close
+// without a response.
+Test(forwardedCall, shutdownWithdrawsQueuedCalls)
 {
     ForwardFixture fixture;
     fixture.call(ForwardFixture::plan(false));
     cr_assert(fixture.runUntil([&] { return fixture.callsSent() == 1; }));
-    FakePeer &peer = fixture.peers[fixture.first()];
+    FakePeer &peer = fixture.peers[fixture.firstPeer()];
     fixture.worker.withdrawPendingCalls();
     cr_assert(fixture.runUntil([&] { return peer.withdrawals == 1; }));
     cr_assert(!fixture.answer, "it may be running there");
@@ -310,8 +310,8 @@
     cr_assert(fixture.callsSent() == 1, "it was sent elsewhere");
 }
 
-// The same for a call that runs there: the caller learns in time that nobody can tell it how that ended.
-Test(forwardedCall, aNodeThatEndsAnswersWhatRuns)
+// The same for a call that is running there: it is reported as unknown before the node exits.
+Test(forwardedCall, shutdownReportsRunningCallsAsUnknown)
 {
     ForwardFixture fixture;
     fixture.call(ForwardFixture::plan(false));
@@ -324,7 +324,8 @@
     cr_assert(fixture.answer->retryAfterMilliseconds > 0);
 }
 
-// The request crashes upstreams: no gate is asked, and the caller learns at once when to come back.
+// A request that crashes upstreams is refused at once, with the time after which to retry, and reaches no
+// gate.
 Test(forwardedCall, aQuarantinedRequestIsRefusedAtOnce)
 {
     ForwardFixture fixture;
@@ -336,8 +337,9 @@
     cr_assert(fixture.callsSent() == 0);
 }
 
-// A path goes silent for good while the node ends, and new calls wait behind it to their deadlines.
-Test(forwardedCall, aNodeThatEndsSendsNewCallsBesideASilentPath)
+// A path goes silent for good while the node shuts down. New calls must use a new connection rather than wait
+// on the silent one until their deadlines.
+Test(forwardedCall, newCallsAvoidASilentLinkDuringShutdown)
 {
     constexpr Milliseconds silence(100);
     ForwardFixture fixture(silence, 1);
@@ -349,7 +351,7 @@
     const std::shared_ptr<PeerLink> link = fixture.worker.link(peer.address());
     fixture.worker.beginShutdown();
     cr_assert(fixture.runUntil([&] { return link->isSilent(SteadyClock::now()); }));
-    cr_assert(!fixture.answer, "what may be running was given up");
+    cr_assert(!fixture.answer, "a call that may be running was ended");
     fixture.call(ForwardFixture::plan(false));
     cr_assert(fixture.runUntil([&] { return peer.calls.size() == 2; }));
     cr_assert(peer.connections.size() == 2);
@@ -377,24 +379,26 @@
 
 } // namespace
 
-// No gate answers in time, and the one that is asked for a late answer is about to end.
-TABLE_TEST(forwardedCall, aLateAnswerIsAskedOfAGateThatStays, lateRows)
+// No gate accepts the call within its latency target. The call is then retried, accepting a late response, at
+// a gate that is not draining.
+TABLE_TEST(forwardedCall, aLateResponseIsRequestedFromAGateThatIsNotDraining, lateRows)
 {
     ForwardFixture fixture;
     CallPlan plan = ForwardFixture::plan(true);
     plan.target = SteadyClock::now() + std::chrono::seconds(20);
     fixture.call(plan);
     cr_assert(fixture.runUntil([&] { return fixture.callsSent() == 1; }));
-    FakePeer &first = fixture.peers[fixture.first()];
-    FakePeer &second = fixture.peers[1 - fixture.first()];
-    cr_assert(!first.calls[0].lateAccepted);
-    first.refuse(0, false, row.firstDrains);
+    FakePeer &firstPeer = fixture.peers[fixture.firstPeer()];
+    FakePeer &second = fixture.peers[1 - fixture.firstPeer()];
+    cr_assert(!firstPeer.calls[0].lateAccepted);
+    firstPeer.refuse(0, false, row.firstDrains);
     cr_assert(fixture.runUntil([&] { return second.calls.size() == 1; }));
     second.refuse(0, false);
     cr_assert(fixture.runUntil([&] { return fixture.callsSent() == 3 || fixture.answer; }));
-    cr_assert(first.calls.size() == (row.firstDrains ? 1 : 2), "%s", row.what);
+    cr_assert(firstPeer.calls.size() == (row.firstDrains ? 1 : 2), "%s", row.what);
     if (!row.firstDrains)
-        first.refuse(1, false);
+        firstPeer.refuse(1, false);
     cr_assert(fixture.runUntil([&] { return fixture.callsSent() > 3 || fixture.answer; }));
-    cr_assert(fixture.answer && fixture.answer->outcome == Outcome::NotRun, "it is asked once");
+    cr_assert(fixture.answer && fixture.answer->outcome == Outcome::NotRun,
+              "the gate is asked for a late response only once");
 }
