--- a/Services/Node/Control/ControlClient.cpp
+++ b/Services/Node/Control/ControlClient.cpp
@@ -1,4 +1,4 @@
-// One connection, one request, one answer.
+// Pulls a configuration over a connection of its own: one request, one response.
 #include "ControlClient.h"
 
 #include <LibNet/FramedConnection.h>
@@ -31,9 +31,10 @@
     }
 };
 
-// Load: a peer whose connection fell silent. Harm: the pull would wait for ever and the node stay behind. The
-// timer ends it, and the plan goes to another peer.
-void begin(const std::shared_ptr<Pull> &pull, boost::asio::ip::tcp::socket socket, const PullRequest &request)
+// A peer may stop responding without closing the connection. The timer then ends the pull, so that the node
+// tries another peer instead of waiting forever with an outdated configuration.
+void sendRequest(const std::shared_ptr<Pull> &pull, boost::asio::ip::tcp::socket socket,
+                 const PullRequest &request)
 {
     FramedConnectionHooks hooks;
     hooks.onFrame = [pull](FrameType type, std::span<const char> payload) {
@@ -46,7 +47,7 @@
             pull->finish(PullResult{std::move(response).assume_value(), bytes});
         else
             pull->finish(std::move(response).assume_error());
-        pull->connection->close(makeError(ErrorKind::Unavailable, "pull", "", "done"));
+        pull->connection->close(makeError(ErrorKind::Unavailable, "pull", "", "response received"));
     };
     hooks.onClosed = [pull](const Error &error) { pull->finish(error); };
     pull->connection =
@@ -77,7 +78,7 @@
                           return;
                       if (!socket)
                           return pull->finish(std::move(socket).assume_error());
-                      begin(pull, std::move(socket).assume_value(), request);
+                      sendRequest(pull, std::move(socket).assume_value(), request);
                   });
 }
 
--- a/Services/Node/Control/ControlClient.h
+++ b/Services/Node/Control/ControlClient.h
@@ -1,4 +1,4 @@
-// Asks one peer for a configuration. The answer, or the lack of one, comes exactly once and within the limit.
+// Pulls a configuration from one peer.
 #pragma once
 
 #include <LibCore/Error.h>
@@ -12,7 +12,7 @@
 
 namespace Sagecrank {
 
-inline constexpr Duration pullTimeout = Milliseconds(3000); // For the whole of it, connecting included.
+inline constexpr Duration pullTimeout = Milliseconds(3000); // For the whole pull, including the connect.
 
 struct PullResult
 {
@@ -20,6 +20,7 @@
     std::uint64_t receivedBytes = 0;
 };
 
+// Calls `done` exactly once, with the response or an error, within `pullTimeout`.
 void pullFromPeer(boost::asio::io_context &context, const std::string &address, const PullRequest &request,
                   std::function<void(Result<PullResult>)> done);
 
--- a/Services/Node/Control/ControlFollower.cpp
+++ b/Services/Node/Control/ControlFollower.cpp
@@ -1,4 +1,4 @@
-// Reading the head, pulling from peers, taking in and serving.
+// Polls the head, pulls versions from peers and the platform, and serves them to peers.
 #include "ControlFollower.h"
 
 #include "ControlClient.h"
@@ -14,14 +14,14 @@
 
 constexpr Duration advanceInterval = Milliseconds(100);
 
-// At a change each eleven seconds, eight versions are a minute and a half; who is further behind gets the
-// whole. Each costs about half a megabyte at 820 services.
-constexpr std::size_t recentVersions = 8;
+// At one change every 11 s, eight versions cover about 90 s; a peer that is further behind gets a full copy.
+// Each version takes about 0.5 MB at 820 services.
+constexpr std::size_t maximumRecentVersions = 8;
 
-// A fresh node settles for what its peers hold only after the newest version had time to reach them.
-constexpr Duration settleAfter = Milliseconds(3000);
+// A new node falls back to the version of its peers only after the newest one has had time to reach them.
+constexpr Duration agreedVersionDelay = Milliseconds(3000);
 
-std::string asText(const std::vector<std::byte> &bytes)
+std::string toString(const std::vector<std::byte> &bytes)
 {
     return {reinterpret_cast<const char *>(bytes.data()), bytes.size()};
 }
@@ -31,7 +31,7 @@
     return std::as_bytes(std::span(text.data(), text.size()));
 }
 
-// What a node that holds nothing starts a delta from.
+// The base of the first delta of a node that holds no version.
 SiteConfiguration emptySite(const std::string &site)
 {
     SiteConfiguration empty;
@@ -39,7 +39,7 @@
     return empty;
 }
 
-PullFailure failureOf(const Error &error)
+PullFailure pullFailureOf(const Error &error)
 {
     switch (error.kind) {
     case ErrorKind::InvalidInput:
@@ -72,10 +72,10 @@
 
 void ControlFollower::start()
 {
-    this->started = SteadyClock::now();
-    this->sourceAnswered = this->started;
-    this->poll.start(this->started, this->hooks.hasView());
-    this->pollLater();
+    this->startedAt = SteadyClock::now();
+    this->sourceAnsweredAt = this->startedAt;
+    this->poll.start(this->startedAt, this->hooks.hasView());
+    this->schedulePoll();
     this->advance();
 }
 
@@ -107,15 +107,15 @@
     const HeadStep step = this->poll.next(SteadyClock::now(), this->poller());
     for (const OverdueRead &read : step.overdue) {
         ++this->counts.headReadFailures;
-        this->tellSourceFailed(makeError(ErrorKind::Timeout, "read head", "", "no answer in time"),
-                               read.waited, read.failures);
+        this->reportSourceFailure(makeError(ErrorKind::Timeout, "read head", "", "no answer in time"),
+                                  read.waited, read.failures);
     }
     if (step.begin)
         this->readHead(*step.begin);
-    this->pollLater();
+    this->schedulePoll();
 }
 
-void ControlFollower::pollLater()
+void ControlFollower::schedulePoll()
 {
     this->pollTimer.expires_at(this->poll.wakeAt());
     this->pollTimer.async_wait([this](const boost::system::error_code &error) {
@@ -128,7 +128,7 @@
 {
     const std::uint64_t known = this->plan.targetVersion().version;
     HeadQuery query;
-    // Only those who read often wait for news; the others look once and leave the source alone.
+    // Only the fast pollers use long polling; the others read once, to spare the source.
     if (read.longPoll)
         query.knownVersion = known;
     query.maximumWait = read.hold;
@@ -140,7 +140,7 @@
             this->headRead(read, known, head.assume_value());
         else
             this->headReadFailed(read, head.assume_error(), SteadyClock::now() - begun);
-        this->pollLater();
+        this->schedulePoll();
     });
 }
 
@@ -149,8 +149,8 @@
     const Instant now = SteadyClock::now();
     if (this->poll.consecutiveFailures() != 0 && this->hooks.sourceRecovered)
         this->hooks.sourceRecovered(
-            {now - this->sourceAnswered, this->poll.consecutiveFailures(), found.version});
-    this->sourceAnswered = now;
+            {now - this->sourceAnsweredAt, this->poll.consecutiveFailures(), found.version});
+    this->sourceAnsweredAt = now;
     this->poll.answered(now, this->poller(), read.number, found.version > known);
     const ConfigurationVersion mark{found.version, found.digest.high, found.digest.low};
     this->plan.sourceReported(mark, now);
@@ -161,17 +161,17 @@
 void ControlFollower::headReadFailed(const HeadRead &read, const Error &error, Duration waited)
 {
     if (!this->poll.failed(SteadyClock::now(), this->poller(), read.number))
-        return; // Told when it was overdue.
+        return; // Already reported as overdue.
     ++this->counts.headReadFailures;
-    // It answers, with something that cannot be read: nothing new comes into force until it is mended, and
-    // only this line says why.
+    // The source answers, but with a head that cannot be decoded. No new version is applied until it is
+    // repaired, and only this log line says why.
     if (error.kind == ErrorKind::InvalidInput)
         this->hooks.failed(error);
     else
-        this->tellSourceFailed(error, waited, this->poll.consecutiveFailures());
+        this->reportSourceFailure(error, waited, this->poll.consecutiveFailures());
 }
 
-void ControlFollower::tellSourceFailed(const Error &error, Duration waited, std::uint32_t failures)
+void ControlFollower::reportSourceFailure(const Error &error, Duration waited, std::uint32_t failures)
 {
     const Duration retryIn = std::max(this->poll.wakeAt() - SteadyClock::now(), Duration::zero());
     if (this->hooks.sourceFailed)
@@ -180,7 +180,7 @@
 
 Duration ControlFollower::sourceAge() const
 {
-    return SteadyClock::now() - this->sourceAnswered;
+    return SteadyClock::now() - this->sourceAnsweredAt;
 }
 
 void ControlFollower::advance()
@@ -189,10 +189,10 @@
         return;
     const Instant now = SteadyClock::now();
     const std::uint64_t held = this->heldVersion();
-    if (held == 0 && now - this->started > settleAfter && !this->plan.hasOpenPulls())
-        this->wantAgreedVersion(now);
+    if (held == 0 && now - this->startedAt > agreedVersionDelay && !this->plan.hasOpenPulls())
+        this->fallBackToAgreedVersion(now);
     this->pullIfNeeded();
-    this->considerRank(now);
+    this->updatePollRank(now);
     this->advanceTimer.expires_after(advanceInterval);
     this->advanceTimer.async_wait([this](const boost::system::error_code &error) {
         if (!error)
@@ -200,12 +200,12 @@
     });
 }
 
-void ControlFollower::considerRank(Instant now)
+void ControlFollower::updatePollRank(Instant now)
 {
     const Instant before = this->poll.wakeAt();
     this->poll.rankChanged(now, this->poller());
     if (this->poll.wakeAt() != before)
-        this->pollLater();
+        this->schedulePoll();
 }
 
 void ControlFollower::pullIfNeeded()
@@ -215,10 +215,10 @@
         return;
     const Instant now = SteadyClock::now();
     for (const OverduePull &pull : this->plan.takeOverdue(now))
-        this->tellOverdue(pull);
-    // Failure: versions come faster than nodes hear who holds the newest. Symptom: nobody known holds the one
-    // that is wanted, and a node stays behind by many versions for as long as that lasts. Whoever holds a
-    // newer one than this node brings it closer.
+        this->reportOverduePull(pull);
+    // Accepts any peer that holds a newer version than this node, not only holders of the wanted one. When
+    // versions are published faster than gossip spreads who holds the newest, no holder of it may be known,
+    // and the node would stay many versions behind for as long as that lasts.
     const auto holders = this->hooks.holders(held + 1);
     const PullStep step = this->plan.next(now, held, this->hooks.rank(), holders);
     if (step.source == PullSource::Platform)
@@ -227,17 +227,17 @@
         this->pullFromPeer(step);
 }
 
-void ControlFollower::tellOverdue(const OverduePull &pull)
+void ControlFollower::reportOverduePull(const OverduePull &pull)
 {
     const std::string waited = std::to_string(wholeMilliseconds(pull.waited));
     this->hooks.failed(makeError(ErrorKind::Timeout, "pull version", pull.step.holder.id,
-                                 "no answer after " + waited + " ms; it is asked elsewhere"));
+                                 "no response after " + waited + " ms; trying another source"));
 }
 
-// Load: hosts are replaced while the platform is out. Harm: a node without a configuration serves nobody for
-// the whole of the outage. The version that two peers of the zone hold was accepted, so it may take that, and
-// goes on to a newer one once somebody has it.
-void ControlFollower::wantAgreedVersion(Instant now)
+// A node that starts during an outage of the platform would serve no calls until the outage ends. A version
+// that two peers in the zone hold was accepted, so the node may use that one, and moves to a newer version
+// once a peer has it.
+void ControlFollower::fallBackToAgreedVersion(Instant now)
 {
     if (this->hooks.holders(this->plan.targetVersion().version).empty())
         this->plan.setInterimTarget({corroboratedVersion(this->hooks.zoneVersions()), 0, 0}, now);
@@ -250,25 +250,25 @@
     this->source.readSite(held, [this, number = step.number](Result<SiteConfiguration> configuration) {
         if (this->stopped || !this->plan.isOpen(number))
             return;
-        const Result<void> taken = this->takePlatformAnswer(std::move(configuration));
-        if (taken) {
+        const Result<void> applied = this->applyPlatformResponse(std::move(configuration));
+        if (applied) {
             this->plan.succeeded(number);
             return;
         }
-        // A version that does not check will not check tomorrow: it is refused whole and for good. A store
-        // that does not answer is asked again later.
-        const ErrorKind kind = taken.error().kind;
+        // An invalid version never becomes valid, so it is rejected permanently. A store that does not answer
+        // is asked again later.
+        const ErrorKind kind = applied.error().kind;
         const bool invalid = kind == ErrorKind::InvalidInput || kind == ErrorKind::TooLarge;
-        this->fail(number, taken.error(), invalid ? PullFailure::Invalid : PullFailure::Unreachable);
+        this->pullFailed(number, applied.error(), invalid ? PullFailure::Invalid : PullFailure::Unreachable);
     });
 }
 
-// The source may have gone on since the version that was wanted was heard of.
-Result<void> ControlFollower::takePlatformAnswer(Result<SiteConfiguration> configuration)
+// The source may hold a newer version than the one that was wanted.
+Result<void> ControlFollower::applyPlatformResponse(Result<SiteConfiguration> configuration)
 {
     SiteConfiguration found = TRY(std::move(configuration));
     this->plan.setTarget({found.manifest.version, 0, 0}, SteadyClock::now());
-    return this->take(std::move(found));
+    return this->apply(std::move(found));
 }
 
 void ControlFollower::pullFromPeer(const PullStep &step)
@@ -282,7 +282,7 @@
         if (this->stopped || !this->plan.isOpen(number))
             return;
         if (!answer)
-            return this->fail(number, answer.assume_error(), PullFailure::Unreachable);
+            return this->pullFailed(number, answer.assume_error(), PullFailure::Unreachable);
         const PullResult &pulled = answer.assume_value();
         this->counts.pulledBytes += pulled.receivedBytes;
         const PullResponse &response = pulled.response;
@@ -295,39 +295,39 @@
             this->plan.failed(SteadyClock::now(), number, PullFailure::Missing, {});
             return;
         }
-        const Result<void> taken = this->takePeerAnswer(response);
-        if (taken) {
+        const Result<void> applied = this->applyPeerResponse(response);
+        if (applied) {
             this->plan.succeeded(number);
             return;
         }
-        Error error = taken.error();
+        Error error = applied.error();
         error.peer = peer;
-        this->fail(number, error, failureOf(error));
+        this->pullFailed(number, error, pullFailureOf(error));
     });
 }
 
-Result<void> ControlFollower::takePeerAnswer(const PullResponse &response)
+Result<void> ControlFollower::applyPeerResponse(const PullResponse &response)
 {
     const SiteDelta delta = TRY(decodeDelta(asBytes(response.payload)));
     if (response.answer == PullAnswer::Delta && !this->recent.empty())
-        return this->take(TRY(applyDelta(*this->recent.back(), delta)));
+        return this->apply(TRY(applyDelta(*this->recent.back(), delta)));
     ++this->counts.wholePulls;
-    return this->take(TRY(applyDelta(emptySite(this->site), delta)));
+    return this->apply(TRY(applyDelta(emptySite(this->site), delta)));
 }
 
-Result<void> ControlFollower::take(SiteConfiguration configuration)
+Result<void> ControlFollower::apply(SiteConfiguration configuration)
 {
-    auto kept = std::make_shared<const SiteConfiguration>(configuration);
+    auto applied = std::make_shared<const SiteConfiguration>(configuration);
     TRY_VOID(this->hooks.offer(std::move(configuration)));
-    this->recent.push_back(kept);
-    if (this->recent.size() > recentVersions)
+    this->recent.push_back(applied);
+    if (this->recent.size() > maximumRecentVersions)
         this->recent.pop_front();
     this->deltas.clear();
-    this->hooks.versionApplied(kept->manifest.version);
+    this->hooks.versionApplied(applied->manifest.version);
     return success();
 }
 
-void ControlFollower::fail(std::uint64_t number, const Error &error, PullFailure failure)
+void ControlFollower::pullFailed(std::uint64_t number, const Error &error, PullFailure failure)
 {
     ++this->counts.pullFailures;
     const ConfigurationVersion mark = this->plan.targetVersion();
@@ -344,17 +344,17 @@
     if (held == 0 || request.site != this->site || held < request.wantedVersion
         || request.baseVersion >= held)
         return response;
-    SiteConfiguration nothing = emptySite(this->site);
-    const SiteConfiguration *base = &nothing;
+    SiteConfiguration empty = emptySite(this->site);
+    const SiteConfiguration *base = &empty;
     for (const auto &version : this->recent) {
         if (version->manifest.version == request.baseVersion)
             base = version.get();
     }
-    response.answer = base == &nothing ? PullAnswer::Full : PullAnswer::Delta;
+    response.answer = base == &empty ? PullAnswer::Full : PullAnswer::Delta;
     response.version = held;
     std::string &payload = this->deltas[base->manifest.version];
     if (payload.empty())
-        payload = asText(encodeDelta(makeDelta(*base, *this->recent.back())));
+        payload = toString(encodeDelta(makeDelta(*base, *this->recent.back())));
     response.payload = payload;
     return response;
 }
--- a/Services/Node/Control/ControlFollower.h
+++ b/Services/Node/Control/ControlFollower.h
@@ -1,6 +1,6 @@
-// Keeps the node at the newest accepted version: reads the head when it is this node's turn, pulls content
-// from the source that the plan names, offers it whole, and serves what it holds to peers. Lives on the
-// control thread.
+// Keeps the node at the newest accepted configuration version: polls the head when this node is a poller,
+// pulls content from the source that the plan selects, offers each version as a whole, and serves the version
+// that it holds to peers. Used on the control thread only.
 #pragma once
 
 #include <LibConfig/Model.h>
@@ -23,27 +23,27 @@
 struct FollowerCounters
 {
     std::uint64_t headReadFailures = 0;
-    std::uint64_t peerPulls = 0; // Begun.
+    std::uint64_t peerPulls = 0; // Started.
     std::uint64_t platformPulls = 0;
     std::uint64_t pullFailures = 0;
     std::uint64_t pulledBytes = 0; // From peers.
     std::uint64_t refusedVersions = 0;
-    std::uint64_t wholePulls = 0; // Answers of peers that were not deltas.
+    std::uint64_t wholePulls = 0; // Responses of peers that were not deltas.
 };
 
-// A read of the head that brought nothing.
+// A failed read of the head.
 struct SourceFailure
 {
     Error error;
-    Duration waited{};          // From its start until it failed.
-    std::uint32_t failures = 0; // In a row, with this one; 1: the source answered before it.
+    Duration waited{};          // From the start of the read until it failed.
+    std::uint32_t failures = 0; // Consecutive, including this one; 1 if the read before it succeeded.
     Duration retryIn{};
 };
 
-// The first answer after failures.
+// The first successful read after failures.
 struct SourceRecovery
 {
-    Duration outage{}; // Since the answer before the failures, or since the start.
+    Duration outage{}; // Since the last successful read, or since the start.
     std::uint32_t failures = 0;
     std::uint64_t version = 0;
 };
@@ -51,16 +51,16 @@
 struct FollowerHooks
 {
     std::function<Result<void>(SiteConfiguration)> offer;
-    std::function<void(const ConfigurationVersion &)> headRead; // Read from the platform.
-    std::function<void(std::uint64_t version)> versionApplied;  // A version was taken in.
+    std::function<void(const ConfigurationVersion &)> headRead; // Read from the version source.
+    std::function<void(std::uint64_t version)> versionApplied;  // A version was accepted.
     std::function<std::vector<Holder>(std::uint64_t version)> holders;
-    std::function<std::vector<std::uint64_t>()> zoneVersions; // What the zone's peers hold.
-    std::function<std::uint32_t()> rank;                      // For polling the head.
+    std::function<std::vector<std::uint64_t>()> zoneVersions; // Versions held by peers in the zone.
+    std::function<std::uint32_t()> rank;                      // Among the pollers of the head.
     std::function<void(const SourceFailure &)> sourceFailed;
     std::function<void(const SourceRecovery &)> sourceRecovered;
     std::function<bool()> hasView;
-    std::function<bool()> knowsPeers;          // Of any other node that is present.
-    std::function<void(const Error &)> failed; // A version or a source failed; for the log.
+    std::function<bool()> knowsPeers;          // Whether any other node is present.
+    std::function<void(const Error &)> failed; // A version or a pull failed; for the log.
 };
 
 struct FollowerSettings
@@ -78,36 +78,36 @@
     // Commands.
     void start();
     void stop();
-    void versionAnnounced(const ConfigurationVersion &mark); // By gossip.
-    void pullIfNeeded(); // Tries what is due; also called when a holder appeared.
+    void versionAnnounced(const ConfigurationVersion &mark); // A peer announced it by gossip.
+    void pullIfNeeded(); // Also called when a peer announces that it holds a newer version.
 
     // Queries.
-    PullResponse serve(const PullRequest &request); // Computes and keeps deltas, and changes nothing else.
+    PullResponse serve(const PullRequest &request); // Caches the deltas that it computes.
     std::uint64_t heldVersion() const;
     const FollowerCounters &counters() const { return this->counts; }
     VersionSourceCounters sourceCounters() const { return this->source.counters(); }
     const ConfigurationVersion &wanted() const { return this->plan.targetVersion(); }
-    Duration sourceAge() const; // Since the source last answered, or since the start.
+    Duration sourceAge() const; // Since the last successful read of the head, or since the start.
 
 private:
     void advance();
-    void considerRank(Instant now);
+    void updatePollRank(Instant now);
     HeadPoller poller() const;
     void pollHead();
-    void pollLater();
+    void schedulePoll();
     void readHead(const HeadRead &read);
-    // `known`: the newest version when the read began.
+    // `known`: the newest version known when the read began.
     void headRead(const HeadRead &read, std::uint64_t known, const Head &found);
     void headReadFailed(const HeadRead &read, const Error &error, Duration waited);
-    void tellSourceFailed(const Error &error, Duration waited, std::uint32_t failures);
-    void wantAgreedVersion(Instant now);
+    void reportSourceFailure(const Error &error, Duration waited, std::uint32_t failures);
+    void fallBackToAgreedVersion(Instant now);
     void pullFromPeer(const PullStep &step);
-    Result<void> takePeerAnswer(const PullResponse &response);
+    Result<void> applyPeerResponse(const PullResponse &response);
     void pullFromPlatform(const PullStep &step);
-    void tellOverdue(const OverduePull &pull);
-    Result<void> takePlatformAnswer(Result<SiteConfiguration> configuration);
-    Result<void> take(SiteConfiguration configuration);
-    void fail(std::uint64_t number, const Error &error, PullFailure failure);
+    void reportOverduePull(const OverduePull &pull);
+    Result<void> applyPlatformResponse(Result<SiteConfiguration> configuration);
+    Result<void> apply(SiteConfiguration configuration);
+    void pullFailed(std::uint64_t number, const Error &error, PullFailure failure);
 
     boost::asio::io_context &context;
     boost::asio::steady_timer pollTimer;
@@ -119,13 +119,13 @@
     HeadPoll poll;
     PullPlan plan;
     FollowerCounters counts;
-    Instant started{};
-    Instant sourceAnswered{}; // When the head was last read; the start before the first time.
+    Instant startedAt{};
+    Instant sourceAnsweredAt{}; // Last successful read of the head; the start time before the first one.
     bool stopped = false;
 
-    // Newest last; the base of deltas for peers that are a few versions behind. Bounded.
+    // Newest last, at most `maximumRecentVersions`; bases of deltas for peers that are a few versions behind.
     std::deque<std::shared_ptr<const SiteConfiguration>> recent;
-    std::map<std::uint64_t, std::string> deltas; // Encoded, from a base version to the newest.
+    std::map<std::uint64_t, std::string> deltas; // Encoded deltas to the newest version, by base version.
 };
 
 } // namespace Sagecrank
--- a/Services/Node/Control/ControlGossip.cpp
+++ b/Services/Node/Control/ControlGossip.cpp
@@ -1,4 +1,4 @@
-// Datagrams in and out, and ticks.
+// Sends and receives gossip datagrams and drives the membership state machine.
 #include "ControlGossip.h"
 
 #include <LibNet/FramedConnection.h>
@@ -11,10 +11,10 @@
 
 using boost::asio::ip::udp;
 
-// Short against a gossip round (200 ms), long against the cost of a tick.
+// Half of a gossip round (200 ms); the cost of a tick is negligible at this rate.
 constexpr Duration tickInterval = Milliseconds(100);
 
-// Holds a burst of answers while the thread is busy: about two hundred full datagrams.
+// About 200 full datagrams: a burst of replies that arrives while the thread is busy.
 constexpr int receiveBufferBytes = 256 * 1024;
 
 Result<udp::endpoint> parseUdpEndpoint(const std::string &address)
@@ -58,7 +58,7 @@
     this->socket.set_option(boost::asio::socket_base::receive_buffer_size(receiveBufferBytes), ignored);
     this->receiveNext();
     this->machine.tick(SteadyClock::now());
-    this->tickLater();
+    this->scheduleTick();
     return success();
 }
 
@@ -69,7 +69,7 @@
     this->socket.close(ignored);
 }
 
-// A full socket buffer loses the datagram, as the network might; the protocol lives with both.
+// The datagram is dropped when the socket buffer is full; the protocol tolerates loss.
 void ControlGossip::send(const std::string &address, const std::string &bytes)
 {
     const Result<udp::endpoint> endpoint = parseUdpEndpoint(address);
@@ -95,14 +95,14 @@
                                     });
 }
 
-void ControlGossip::tickLater()
+void ControlGossip::scheduleTick()
 {
     this->timer.expires_after(tickInterval);
     this->timer.async_wait([this](const boost::system::error_code &error) {
         if (error || !this->socket.is_open())
             return;
         this->machine.tick(SteadyClock::now());
-        this->tickLater();
+        this->scheduleTick();
     });
 }
 
--- a/Services/Node/Control/ControlGossip.h
+++ b/Services/Node/Control/ControlGossip.h
@@ -1,4 +1,4 @@
-// The membership state machine on a UDP socket and a timer. Lives on the control thread.
+// Runs the membership state machine on a UDP socket and a timer. Used on the control thread only.
 #pragma once
 
 #include <LibMembership/Membership.h>
@@ -17,7 +17,7 @@
 class ControlGossip
 {
 public:
-    // The hook `send` is set here; the others are the caller's.
+    // The `send` hook is replaced; the caller sets the others.
     ControlGossip(boost::asio::io_context &context, MembershipSettings settings, Member self,
                   MembershipHooks hooks, std::uint64_t seed);
 
@@ -34,13 +34,13 @@
     MembershipHooks withSend(MembershipHooks hooks);
     void send(const std::string &address, const std::string &bytes);
     void receiveNext();
-    void tickLater();
+    void scheduleTick();
 
     boost::asio::ip::udp::socket socket;
     boost::asio::steady_timer timer;
     Membership machine;
     boost::asio::ip::udp::endpoint sender;
-    // One byte more than allowed, so that a datagram that was cut off is seen as too large.
+    // One byte more than the limit, so that an oversized datagram is detected rather than truncated.
     std::array<char, maximumDatagramBytes + 1> buffer{};
     std::uint64_t failures = 0;
 };
--- a/Services/Node/Control/ControlIntroducers.cpp
+++ b/Services/Node/Control/ControlIntroducers.cpp
@@ -1,4 +1,4 @@
-// Rows of introducers, written by few and read by who is alone.
+// Reads and writes the rows of introducers.
 #include "ControlIntroducers.h"
 
 #include <algorithm>
@@ -10,13 +10,13 @@
 
 namespace {
 
-constexpr std::uint32_t readLimit = 256; // All rows of 85 zones.
+constexpr std::uint32_t readLimit = 256; // Enough for the rows of 85 zones.
 constexpr auto partition = "introducers";
-constexpr char placeMark = '#'; // Between zone and place in a sort key.
+constexpr char placeSeparator = '#'; // Between the zone and the place in a sort key.
 
 std::string sortKey(const std::string &zone, std::uint32_t place)
 {
-    return zone + placeMark + std::to_string(place);
+    return zone + placeSeparator + std::to_string(place);
 }
 
 std::vector<std::uint32_t> allPlaces()
@@ -28,7 +28,7 @@
 
 std::string zoneOf(const RowKey &key)
 {
-    return key.sort.substr(0, key.sort.rfind(placeMark));
+    return key.sort.substr(0, key.sort.rfind(placeSeparator));
 }
 
 } // namespace
@@ -49,7 +49,7 @@
 
 void ControlIntroducers::start()
 {
-    this->later(this->pace.initialDelay);
+    this->scheduleRound(this->pace.initialDelay);
 }
 
 void ControlIntroducers::stop()
@@ -58,7 +58,7 @@
     this->timer.cancel();
 }
 
-void ControlIntroducers::later(Duration delay)
+void ControlIntroducers::scheduleRound(Duration delay)
 {
     std::uniform_real_distribution<double> share(0.7, 1.3);
     this->timer.expires_after(std::chrono::duration_cast<Duration>(delay * share(this->random)));
@@ -73,18 +73,18 @@
     const std::uint32_t rank = this->hooks.rank();
     const IntroducerRound now = this->rounds.next(this->hooks.knowsOthers(), rank);
     if (now.write == IntroducerWrite::RankedRow)
-        this->writeWhenDue(rank);
+        this->writeIfDue(rank);
     if (now.read)
         this->read(now);
-    this->later(now.pause);
+    this->scheduleRound(now.pause);
 }
 
-std::uint32_t ControlIntroducers::anyOf(const std::vector<std::uint32_t> &places)
+std::uint32_t ControlIntroducers::pickRandom(const std::vector<std::uint32_t> &places)
 {
     return places[this->random() % places.size()];
 }
 
-void ControlIntroducers::writeWhenDue(std::uint32_t place)
+void ControlIntroducers::writeIfDue(std::uint32_t place)
 {
     const Instant now = SteadyClock::now();
     if (this->writtenAt != Instant::min() && now - this->writtenAt < introducerRenewalInterval / 2)
@@ -92,16 +92,16 @@
     this->write(place);
 }
 
-// Failure: the table comes back from an older copy without the rows of a zone. Symptom: a node that starts
-// then finds nobody until these are renewed, up to a minute later. Who knows nobody looks often anyway and
-// writes when it finds its row gone.
+// When the table is restored from an older copy, the rows of a zone may be missing, and a node that starts
+// then finds no introducer until they are renewed, up to a minute later. A node that knows no other
+// node needs no rewrite: it reads often and writes its row when it is missing.
 void ControlIntroducers::rewriteRow()
 {
     this->writtenAt = Instant::min();
     const std::uint32_t rank = this->hooks.rank();
     if (this->stopped || !this->hooks.knowsOthers() || rank >= introducersPerZone)
         return;
-    this->owed = true;
+    this->rewritePending = true;
     this->write(rank);
 }
 
@@ -113,15 +113,15 @@
     const auto seconds =
         static_cast<std::uint64_t>(std::chrono::duration_cast<std::chrono::seconds>(time).count());
     Row row{{partition, sortKey(this->zone, place)}, {{"gossip", this->gossipAddress}, {"time", seconds}}};
-    this->table.putIf({std::move(row), {}}, [this](const Result<void> &written) {
-        if (written) {
-            this->owed = false;
+    this->table.putIf({std::move(row), {}}, [this](const Result<void> &result) {
+        if (result) {
+            this->rewritePending = false;
             return;
         }
         ++this->counts.failures;
-        this->writtenAt = Instant::min(); // The next round tries again.
-        if (this->owed && !this->stopped)
-            this->later(this->pace.maximumIsolatedBackoff);
+        this->writtenAt = Instant::min(); // The next round retries.
+        if (this->rewritePending && !this->stopped)
+            this->scheduleRound(this->pace.maximumIsolatedBackoff);
     });
 }
 
@@ -135,12 +135,12 @@
             ++this->counts.failures;
             return;
         }
-        this->take(round, rows.assume_value());
+        this->processRows(round, rows.assume_value());
     });
 }
 
-// One row of each other zone is greeted, another in each round: one of them may name a host that is gone.
-void ControlIntroducers::take(const IntroducerRound &round, const std::vector<Row> &rows)
+// Contacts one random introducer of each other zone in a round: a row may name a host that no longer exists.
+void ControlIntroducers::processRows(const IntroducerRound &round, const std::vector<Row> &rows)
 {
     std::vector<std::uint32_t> freePlaces = allPlaces();
     std::vector<std::string> ownZone;
@@ -157,16 +157,16 @@
     }
     const bool mayWrite = round.write == IntroducerWrite::FreeRow || round.write == IntroducerWrite::AnyRow;
     if (mayWrite && !freePlaces.empty())
-        this->writeWhenDue(this->anyOf(freePlaces));
+        this->writeIfDue(this->pickRandom(freePlaces));
     else if (round.write == IntroducerWrite::AnyRow)
-        this->writeWhenDue(this->anyOf(allPlaces()));
+        this->writeIfDue(this->pickRandom(allPlaces()));
     this->hooks.found(ownZone, true);
     if (!round.contactOtherZones || otherZones.empty())
         return;
-    std::vector<std::string> greeted;
+    std::vector<std::string> contacts;
     for (const auto &[from, addresses] : otherZones)
-        greeted.push_back(addresses[this->random() % addresses.size()]);
-    this->hooks.found(greeted, false);
+        contacts.push_back(addresses[this->random() % addresses.size()]);
+    this->hooks.found(contacts, false);
 }
 
 } // namespace Sagecrank
--- a/Services/Node/Control/ControlIntroducers.h
+++ b/Services/Node/Control/ControlIntroducers.h
@@ -1,8 +1,9 @@
-// The entry point that outlives every node: a bounded set of introducers of each zone keeps a row in the
-// platform's table, and a node that knows nobody reads it. Lives on the control thread.
+// Bootstraps membership through the platform's table: a bounded number of introducers in each zone keep a
+// row with their gossip address, and a node that knows no other node reads these rows. Used on the control
+// thread only.
 //
-// A start costs a node one read of a few rows a zone, whose number does not grow with the fleet.
-// A node writes its row once in half of the time after which it is renewed, however often it is its turn.
+// A start costs one read of a few rows for each zone; their number does not grow with the fleet. A node
+// writes its row at most once in half of `introducerRenewal`.
 #pragma once
 
 #include <LibCore/Time.h>
@@ -29,7 +30,7 @@
 
 struct IntroducerHooks
 {
-    std::function<std::uint32_t()> rank; // Among the zone's members, for this role.
+    std::function<std::uint32_t()> rank; // Among the zone's members, as an introducer.
     std::function<bool()> knowsOthers;
     std::function<void(const std::vector<std::string> &addresses, bool ownZone)> found;
 };
@@ -43,19 +44,19 @@
     // Commands.
     void start();
     void stop();
-    void rewriteRow(); // The table has come back from an older copy, and the node's row may be lost.
+    void rewriteRow(); // The table was restored from an older copy and may have lost the row of this node.
 
     // Queries.
     const IntroducerCounters &counters() const { return this->counts; }
 
 private:
-    void later(Duration delay);
+    void scheduleRound(Duration delay);
     void round();
-    void writeWhenDue(std::uint32_t place);
+    void writeIfDue(std::uint32_t place);
     void write(std::uint32_t place);
     void read(const IntroducerRound &round);
-    void take(const IntroducerRound &round, const std::vector<Row> &rows);
-    std::uint32_t anyOf(const std::vector<std::uint32_t> &places);
+    void processRows(const IntroducerRound &round, const std::vector<Row> &rows);
+    std::uint32_t pickRandom(const std::vector<std::uint32_t> &places);
 
     boost::asio::steady_timer timer;
     std::string zone;
@@ -66,8 +67,8 @@
     std::mt19937_64 random;
     IntroducerCounters counts;
     IntroducerSchedule rounds;
-    Instant writtenAt = Instant::min(); // The node's own row.
-    bool owed = false;                  // The row may be lost and has not been written again.
+    Instant writtenAt = Instant::min(); // The row of this node.
+    bool rewritePending = false;        // The row may be lost and has not been rewritten yet.
     bool stopped = false;
 };
 
--- a/Services/Node/Control/ControlPlane.cpp
+++ b/Services/Node/Control/ControlPlane.cpp
@@ -1,4 +1,4 @@
-// Composition of the control plane's parts.
+// Connects the components of the control plane.
 #include "ControlPlane.h"
 
 #include "ControlGossip.h"
@@ -18,25 +18,26 @@
 
 namespace {
 
-// Changes that come in one burst are told to the request plane as one view.
-constexpr Duration coalesceTime = Milliseconds(50);
+// Changes that arrive in one burst are published to the request threads as one view.
+constexpr Duration viewDelay = Milliseconds(50);
 
-// Load: a zone returns, and changes stream in for a minute. Harm: copying 6,500 members and building a view
-// of them takes 2.7 ms, which twenty times a second is 5% of a core. A pause that grows with the members (180
-// ms at 6,500) bounds it to 1.5%, and is still short against the second that a drain takes to get here.
-constexpr Duration coalesceTimeEachMember = Microseconds(20);
+// When a zone returns, changes arrive for about a minute. Copying 6,500 members and building a view of them
+// takes 2.7 ms, which at 20 times a second is 5% of a core. A delay that grows with the number of members
+// (180 ms at 6,500) limits this to 1.5% and is still short compared with the second that news of a drain
+// takes to spread.
+constexpr Duration viewDelayPerMember = Microseconds(20);
 constexpr Duration statusInterval = Milliseconds(1000);
-constexpr Duration goodbyePoll = Milliseconds(100);
+constexpr Duration leavePollInterval = Milliseconds(100);
 
-// Above every earlier life of the same id as long as the host's clock moves forward. A clock that was set
-// back is mended by refutation; see Membership.
+// Higher than in any earlier process with the same id as long as the host's clock moves forward. If the clock
+// was set back, refutation corrects it; see Membership.
 std::uint64_t firstIncarnation()
 {
     const auto time = std::chrono::system_clock::now().time_since_epoch();
     return static_cast<std::uint64_t>(std::chrono::duration_cast<Milliseconds>(time).count());
 }
 
-Member selfOf(const ControlSettings &settings)
+Member makeSelf(const ControlSettings &settings)
 {
     Member self;
     self.id = settings.id;
@@ -51,7 +52,7 @@
     return self;
 }
 
-MembershipSettings membershipSettingsOf(const ControlSettings &settings)
+MembershipSettings makeMembershipSettings(const ControlSettings &settings)
 {
     MembershipSettings membership = settings.membership;
     membership.seeds = settings.seeds;
@@ -60,18 +61,18 @@
 
 } // namespace
 
-class ControlPlane::Parts
+class ControlPlane::Impl
 {
 public:
-    Parts(boost::asio::io_context &context, ControlSettings settings, TablePort table, VersionSource versions,
-          ControlHooks hooks)
+    Impl(boost::asio::io_context &context, ControlSettings settings, TablePort table, VersionSource versions,
+         ControlHooks hooks)
         : context(context)
         , settings(std::move(settings))
         , hooks(std::move(hooks))
         , viewTimer(context)
         , statusTimer(context)
-        , goodbyeTimer(context)
-        , gossip(context, membershipSettingsOf(this->settings), selfOf(this->settings),
+        , leaveTimer(context)
+        , gossip(context, makeMembershipSettings(this->settings), makeSelf(this->settings),
                  this->membershipHooks(), std::random_device{}())
         , follower(context, this->settings.id, this->settings.site, std::move(versions),
                    this->settings.follower, this->followerHooks(), std::random_device{}())
@@ -88,7 +89,7 @@
         TRY_VOID(this->gossip.start(this->settings.gossipAddress));
         this->follower.start();
         this->introducers.start();
-        this->tellView();
+        this->publishView();
         this->refreshStatus();
         return success();
     }
@@ -117,7 +118,7 @@
     void leave(std::function<void()> done)
     {
         this->gossip.membership().leave(SteadyClock::now());
-        this->awaitGoodbye(std::move(done));
+        this->waitForLeave(std::move(done));
     }
 
     ControlStatus status() const
@@ -127,7 +128,7 @@
     }
 
     boost::asio::io_context &context;
-    std::atomic<bool> ready = false; // Never falls again.
+    std::atomic<bool> ready = false; // Never becomes false again.
 
 private:
     MembershipHooks membershipHooks()
@@ -136,7 +137,7 @@
         made.memberChanged = [this](const Member &member) {
             if (this->hooks.memberChanged)
                 this->hooks.memberChanged(member);
-            this->tellViewSoon();
+            this->scheduleViewUpdate();
         };
         made.noticesChanged = this->hooks.noticesChanged;
         made.headAdvanced = [this](const ConfigurationVersion &mark) {
@@ -163,7 +164,7 @@
         };
         made.holders = [this](std::uint64_t version) { return this->holders(version); };
         made.zoneVersions = [this] { return this->zoneVersions(); };
-        made.rank = [this] { return this->readerRank(); };
+        made.rank = [this] { return this->headPollRank(); };
         made.knowsPeers = [this] { return this->knowsPeers(); };
         made.sourceFailed = this->hooks.sourceFailed;
         made.sourceRecovered = this->hooks.sourceRecovered;
@@ -185,9 +186,9 @@
             membership.addSeeds(SteadyClock::now(), addresses, ownZone);
             if (membership.members().presentCount() <= 1 || !this->hooks.introducerUnknown)
                 return;
-            const auto met = membership.membersAt(addresses);
+            const auto known = membership.membersAt(addresses);
             for (const std::string &address : addresses) {
-                if (!met.contains(address))
+                if (!known.contains(address))
                     this->hooks.introducerUnknown(address);
             }
         };
@@ -196,15 +197,15 @@
 
     bool knowsPeers() const { return this->gossip.membership().members().presentCount() > 1; }
 
-    // For each other node of the zone that is alive.
-    template <typename Take>
-    void forEachZonePeer(Take take) const
+    // Calls `visit` for each other node in the zone that is alive.
+    template <typename Visitor>
+    void forEachZonePeer(Visitor visit) const
     {
         const MemberTable &table = this->gossip.membership().members();
         for (const std::uint64_t idHash : table.zonePeers()) {
             const MemberRecord *record = table.find(idHash);
             if (record->member.state == MemberState::Alive)
-                take(record->member);
+                visit(record->member);
         }
     }
 
@@ -220,7 +221,7 @@
         return rendezvousRank(this->zoneRole("introducer"), this->settings.id, others);
     }
 
-    std::uint32_t readerRank() const
+    std::uint32_t headPollRank() const
     {
         std::vector<PlatformReader> others;
         this->forEachZonePeer([&](const Member &member) { others.push_back({member.id, member.linkMbps}); });
@@ -241,18 +242,18 @@
         return list;
     }
 
-    // Of peers that could serve this node, so of its site.
+    // Only of peers that can serve this node, which are those of its site.
     std::vector<std::uint64_t> zoneVersions() const
     {
-        std::vector<std::uint64_t> near;
+        std::vector<std::uint64_t> sameZone;
         std::vector<std::uint64_t> all;
         for (const Holder &holder : this->holders(1)) {
             const MemberRecord *record = this->gossip.membership().members().find(holder.id);
             all.push_back(record->member.configurationVersion);
             if (holder.sameZone)
-                near.push_back(record->member.configurationVersion);
+                sameZone.push_back(record->member.configurationVersion);
         }
-        return near.empty() ? all : near;
+        return sameZone.empty() ? all : sameZone;
     }
 
     void updateReady()
@@ -261,33 +262,33 @@
             this->ready = true;
     }
 
-    void tellViewSoon()
+    void scheduleViewUpdate()
     {
         if (this->viewPending)
             return;
         this->viewPending = true;
         const auto members = static_cast<std::int64_t>(this->gossip.membership().members().size());
-        this->viewTimer.expires_after(coalesceTime + coalesceTimeEachMember * members);
+        this->viewTimer.expires_after(viewDelay + viewDelayPerMember * members);
         this->viewTimer.async_wait([this](const boost::system::error_code &error) {
             if (!error)
-                this->tellView();
+                this->publishView();
         });
     }
 
-    void tellView()
+    void publishView()
     {
         this->viewPending = false;
         if (this->hooks.membersChanged)
             this->hooks.membersChanged(this->gossip.membership().members().members());
     }
 
-    void awaitGoodbye(std::function<void()> done)
+    void waitForLeave(std::function<void()> done)
     {
         if (this->gossip.membership().leaveComplete())
             return done();
-        this->goodbyeTimer.expires_after(goodbyePoll);
-        this->goodbyeTimer.async_wait(
-            [this, done = std::move(done)](const boost::system::error_code &) { this->awaitGoodbye(done); });
+        this->leaveTimer.expires_after(leavePollInterval);
+        this->leaveTimer.async_wait(
+            [this, done = std::move(done)](const boost::system::error_code &) { this->waitForLeave(done); });
     }
 
     void refreshStatus()
@@ -319,7 +320,7 @@
         status.headVersion = std::max(membership.head().version, this->follower.wanted().version);
         status.ready = this->ready;
         status.healthScore = membership.healthScore();
-        status.headPollRank = this->readerRank();
+        status.headPollRank = this->headPollRank();
         status.gossip = membership.counters();
         status.gossipSendFailures = this->gossip.sendFailures();
         status.headReads = source.headReads;
@@ -345,7 +346,7 @@
     ControlHooks hooks;
     boost::asio::steady_timer viewTimer;
     boost::asio::steady_timer statusTimer;
-    boost::asio::steady_timer goodbyeTimer;
+    boost::asio::steady_timer leaveTimer;
     bool viewPending = false;
     ControlGossip gossip;
     ControlFollower follower;
@@ -357,8 +358,8 @@
 
 ControlPlane::ControlPlane(boost::asio::io_context &context, ControlSettings settings, TablePort table,
                            VersionSource versions, ControlHooks hooks)
-    : parts(std::make_unique<Parts>(context, std::move(settings), std::move(table), std::move(versions),
-                                    std::move(hooks)))
+    : impl(std::make_unique<Impl>(context, std::move(settings), std::move(table), std::move(versions),
+                                  std::move(hooks)))
 {
 }
 
@@ -366,51 +367,51 @@
 
 Result<void> ControlPlane::start()
 {
-    return this->parts->start();
+    return this->impl->start();
 }
 
 void ControlPlane::announceUpstream(const std::string &cluster, UpstreamState state, std::uint32_t slots)
 {
-    boost::asio::post(this->parts->context, [parts = this->parts.get(), cluster, state, slots] {
-        parts->announceUpstream(cluster, state, slots);
+    boost::asio::post(this->impl->context, [impl = this->impl.get(), cluster, state, slots] {
+        impl->announceUpstream(cluster, state, slots);
     });
 }
 
 void ControlPlane::announce(const Notice &notice)
 {
-    boost::asio::post(this->parts->context, [parts = this->parts.get(), notice] { parts->announce(notice); });
+    boost::asio::post(this->impl->context, [impl = this->impl.get(), notice] { impl->announce(notice); });
 }
 
 void ControlPlane::noteStoreEra(std::uint64_t era)
 {
-    this->parts->noteStoreEra(era);
+    this->impl->noteStoreEra(era);
 }
 
 void ControlPlane::storeRestored()
 {
-    this->parts->storeRestored();
+    this->impl->storeRestored();
 }
 
 void ControlPlane::leave(std::function<void()> done)
 {
-    boost::asio::post(this->parts->context, [parts = this->parts.get(), done = std::move(done)]() mutable {
-        parts->leave(std::move(done));
+    boost::asio::post(this->impl->context, [impl = this->impl.get(), done = std::move(done)]() mutable {
+        impl->leave(std::move(done));
     });
 }
 
 void ControlPlane::stop()
 {
-    this->parts->stop();
+    this->impl->stop();
 }
 
 bool ControlPlane::ready() const
 {
-    return this->parts->ready;
+    return this->impl->ready;
 }
 
 ControlStatus ControlPlane::status() const
 {
-    return this->parts->status();
+    return this->impl->status();
 }
 
 } // namespace Sagecrank
--- a/Services/Node/Control/ControlPlane.h
+++ b/Services/Node/Control/ControlPlane.h
@@ -1,6 +1,6 @@
-// The control plane of one node: who is present, which configuration is newest, and how it gets here. It
-// composes gossip, the follower of versions, the server of pulls and the introducers on one io_context that
-// one thread runs, apart from the threads that carry requests.
+// The control plane of one node: membership, and the distribution of configuration versions. It combines
+// gossip, the version follower, the pull server and the introducers on one io_context with a single thread,
+// separate from the threads that carry requests.
 #pragma once
 
 #include "ControlFollower.h"
@@ -31,12 +31,12 @@
     std::string region;
     std::string zone;
     std::string site;
-    std::uint32_t linkMegabits = 0; // A second; 0: not told.
-    std::string gossipAddress;      // Listens on it and tells others of it; so for the next two.
-    std::string peerAddress;        // Only told.
+    std::uint32_t linkMegabits = 0; // Per second; 0 if unknown.
+    std::string gossipAddress;      // Listened on and advertised, like `controlAddress`.
+    std::string peerAddress;        // Only advertised.
     std::string controlAddress;
     std::vector<std::string> seeds; // Gossip addresses.
-    MembershipSettings membership;  // Its seeds are ignored.
+    MembershipSettings membership;  // Its seeds are replaced by those above.
     FollowerSettings follower;
     IntroducerTiming introducers;
 };
@@ -44,21 +44,21 @@
 // All are called on the control thread. Hooks that are not set are not called.
 struct ControlHooks
 {
-    // The full view with the node itself, after changes, at most every 50 ms and 20 us a member. Suspects are
-    // in it and count as present: they may refute.
+    // The full member list, including this node, after changes; at most once every 50 ms plus 20 us for each
+    // member. Suspects are included and count as present, since they may refute the suspicion.
     std::function<void(const std::vector<Member> &)> membersChanged;
-    // Each change of one member by itself, at once; for the history.
+    // Each change of a single member, without delay; for the history.
     std::function<void(const Member &)> memberChanged;
     std::function<Result<void>(SiteConfiguration)> configurationOffered;
-    // Something failed that an operator may want to know; not called again and again for one outage.
+    // A failure that an operator may want to know of; not repeated during one outage.
     std::function<void(const Error &)> failed;
-    std::function<void(const SourceFailure &)> sourceFailed;     // The source of versions did not answer.
-    std::function<void(const SourceRecovery &)> sourceRecovered; // The source of versions answers again.
-    // The notices that this node holds, after they changed.
+    std::function<void(const SourceFailure &)> sourceFailed;     // The version source did not answer.
+    std::function<void(const SourceRecovery &)> sourceRecovered; // The version source answers again.
+    // All notices that this node holds, after a change.
     std::function<void(const std::vector<Notice> &)> noticesChanged;
-    // A peer knows of this life of the platform's store; see StoreEra.
+    // A peer announced this era of the platform's store; see StoreEra.
     std::function<void(std::uint64_t era)> storeEraReceived;
-    // A row names an introducer at whose address no member is known, although others are.
+    // A row names an introducer whose address belongs to no known member, although other members are known.
     std::function<void(const std::string &gossipAddress)> introducerUnknown;
 };
 
@@ -66,7 +66,7 @@
 {
     std::array<std::uint64_t, 4> membersByState{}; // By MemberState.
     std::uint64_t heldVersion = 0;
-    std::uint64_t headVersion = 0; // The highest accepted one heard of.
+    std::uint64_t headVersion = 0; // The highest accepted version known to this node.
     bool ready = false;
     std::uint32_t healthScore = 0; // See Membership.
     std::uint32_t headPollRank = 0;
@@ -74,7 +74,7 @@
     std::uint64_t gossipSendFailures = 0;
     std::uint64_t headReads = 0;
     std::uint64_t headReadFailures = 0;
-    Duration sourceAge{}; // Since the source of versions last answered this node.
+    Duration sourceAge{}; // Since the version source last answered this node.
     std::uint64_t objectReads = 0;
     std::uint64_t introducerReads = 0;
     std::uint64_t introducerWrites = 0;
@@ -98,30 +98,33 @@
 class ControlPlane
 {
 public:
-    // The port and the source answer on the given context. They and the hooks live as long as this does.
+    // The table and the version source answer on the given context. They and the objects that the hooks use
+    // must outlive the control plane.
     ControlPlane(boost::asio::io_context &context, ControlSettings settings, TablePort table,
                  VersionSource versions, ControlHooks hooks);
     ~ControlPlane();
 
-    // Commands. start() fails when a port cannot be opened; it is called before the context runs or on its
-    // thread. The others may be called from any thread.
+    // Commands, callable from any thread unless noted.
+
+    // Fails when a port cannot be opened. Called before the context runs, or on its thread.
     Result<void> start();
     void announceUpstream(const std::string &cluster, UpstreamState state, std::uint32_t slots);
-    void announce(const Notice &notice); // To all nodes.
-    // On the control thread. Tells peers which life of the store this node knows of.
+    void announce(const Notice &notice); // Sent to all nodes.
+    // On the control thread. Announces the highest store era that this node knows to its peers.
     void noteStoreEra(std::uint64_t era);
-    void storeRestored(); // The table has come back from an older copy.
-    // Says goodbye to the mesh, then calls `done` on the control thread. Called last, after the drain.
+    void storeRestored(); // On the control thread. The table was restored from an older copy.
+    // Announces to the mesh that this node leaves, then calls `done` on the control thread. Called
+    // during a drain.
     void leave(std::function<void()> done);
-    void stop(); // Closes the ports; on the control thread.
+    void stop(); // On the control thread. Closes the ports.
 
-    // Queries; from any thread.
-    bool ready() const;           // Holds a configuration and has heard of its peers, if there are any.
-    ControlStatus status() const; // At most a second old.
+    // Queries, callable from any thread.
+    bool ready() const;           // Holds a configuration and has a view of the members.
+    ControlStatus status() const; // At most one second old.
 
 private:
-    class Parts;
-    std::unique_ptr<Parts> parts;
+    class Impl;
+    std::unique_ptr<Impl> impl;
 };
 
 } // namespace Sagecrank
--- a/Services/Node/Control/ControlServer.cpp
+++ b/Services/Node/Control/ControlServer.cpp
@@ -1,4 +1,4 @@
-// Accepting, answering, and ending what takes too long.
+// Accepts connections, answers pull requests, and closes connections that exceed the time limit.
 #include "ControlServer.h"
 
 #include <LibCore/Time.h>
@@ -12,11 +12,11 @@
 
 namespace {
 
-constexpr std::uint32_t maximumServed = 8; // At once; see PullAdmission.
+constexpr std::uint32_t maximumConcurrentPulls = 8; // See PullAdmission.
 constexpr std::uint32_t maximumConnections = 64;
 
-// A peer that fell silent, or reads too slowly, holds a place that others wait for.
-constexpr Duration connectionLimit = Milliseconds(5000);
+// A peer that stalls or reads too slowly occupies a slot that other peers wait for.
+constexpr Duration connectionTimeout = Milliseconds(5000);
 
 } // namespace
 
@@ -24,7 +24,7 @@
 {
     std::shared_ptr<FramedConnection> connection;
     boost::asio::steady_timer timer;
-    bool admitted = false; // Holds one of the places of PullAdmission.
+    bool admitted = false; // Holds a slot of PullAdmission.
 
     explicit Session(boost::asio::io_context &context)
         : timer(context)
@@ -35,7 +35,7 @@
 ControlServer::ControlServer(boost::asio::io_context &context, std::uint64_t seed, Serve serve)
     : context(context)
     , acceptor(context)
-    , admission(maximumServed, seed)
+    , admission(maximumConcurrentPulls, seed)
     , serve(std::move(serve))
 {
 }
@@ -101,12 +101,13 @@
     };
     session->connection =
         std::make_shared<FramedConnection>(std::move(socket), maximumPullRequestSize, std::move(hooks));
-    session->timer.expires_after(connectionLimit);
+    session->timer.expires_after(connectionTimeout);
     const std::weak_ptr<FramedConnection> connection = session->connection;
     session->timer.async_wait([connection](const boost::system::error_code &error) {
         const auto open = connection.lock();
         if (!error && open)
-            open->close(makeError(ErrorKind::Timeout, "serve pull", "", "the peer took too long"));
+            open->close(
+                makeError(ErrorKind::Timeout, "serve pull", "", "the connection exceeded its time limit"));
     });
     session->connection->start();
 }
--- a/Services/Node/Control/ControlServer.h
+++ b/Services/Node/Control/ControlServer.h
@@ -1,5 +1,6 @@
-// Serves configuration pulls on the control port: one request and one answer a connection, a bounded number
-// at once, and no connection longer than its time limit. Lives on the control thread.
+// Serves configuration pulls on the control port: one request and one response for each connection, with
+// limits on concurrent pulls, open connections and the duration of a connection. Used on the control thread
+// only.
 #pragma once
 
 #include <LibCore/Error.h>
@@ -19,8 +20,8 @@
 {
     std::uint64_t served = 0;
     std::uint64_t servedBytes = 0;
-    std::uint64_t refused = 0;   // Busy, or too many connections.
-    std::uint64_t malformed = 0; // Frames that were no request.
+    std::uint64_t refused = 0;   // Answered as busy, or over the connection limit.
+    std::uint64_t malformed = 0; // Frames that were not a valid request.
 };
 
 class ControlServer
@@ -48,7 +49,7 @@
     boost::asio::ip::tcp::acceptor acceptor;
     PullAdmission admission;
     Serve serve;
-    std::uint32_t connections = 0; // Open now; bounded.
+    std::uint32_t connections = 0; // Open now; at most `maximumConnections`.
     ControlServerCounters counts;
 };
 
--- a/Tests/Control/TestControlPlane.cpp
+++ b/Tests/Control/TestControlPlane.cpp
@@ -1,4 +1,4 @@
-// Three control planes on loopback with a platform in memory: versions and members reach all of them.
+// Three control planes on loopback share an in-memory platform: versions and membership reach all of them.
 #include <LibConfig/Assemble.h>
 #include <LibConfig/ConfigurationHolder.h>
 #include <Node/Control/ControlFollower.h>
@@ -18,7 +18,7 @@
 
 namespace {
 
-// A table and an object store in memory whose answers come on the next turn of the context.
+// An in-memory table and object store that answer asynchronously on the given context.
 class FakePlatform
 {
 public:
@@ -102,7 +102,7 @@
     std::map<std::string, decltype(encodeSection({}))> stored;
 };
 
-// Free when asked for; the kernel hands out another one each time, so a clash is unlikely.
+// A port that is free now. The kernel returns another one for each call, so a collision is unlikely.
 std::string freeAddress()
 {
     boost::asio::io_context context;
@@ -117,7 +117,7 @@
     std::string gossipAddress = freeAddress();
     std::vector<Member> view;
     std::size_t errors = 0;
-    std::uint64_t heardEra = 0; // Of the store; from a peer.
+    std::uint64_t receivedEra = 0; // Store era received from a peer.
 
     void start(boost::asio::io_context &context, FakePlatform &platform, const std::string &id,
                const std::string &zone, std::vector<std::string> seeds)
@@ -138,7 +138,7 @@
         };
         hooks.failed = [this](const Error &) { ++this->errors; };
         hooks.storeEraReceived = [this](std::uint64_t era) {
-            this->heardEra = era;
+            this->receivedEra = era;
             this->plane->storeRestored();
         };
         this->plane = std::make_unique<ControlPlane>(
@@ -168,7 +168,7 @@
     FakePlatform platform{context};
     TestNode nodes[3];
 
-    // The limit only ends a run that would never get there.
+    // The time limit only ends a run that would never satisfy the condition.
     bool runUntil(const std::function<bool()> &condition)
     {
         const Instant limit = SteadyClock::now() + std::chrono::seconds(60);
@@ -196,7 +196,7 @@
 
 } // namespace
 
-Test(control, aVersionReachesAllAndChangesTravelAsDeltas)
+Test(control, versionsReachAllNodes)
 {
     Fixture fixture;
     fixture.platform.publish(configuration(1, 10));
@@ -209,9 +209,9 @@
     cr_assert(fixture.nodes[1].holder->held()->sections[0].maximumQueue == 20);
 }
 
-// A host is replaced while the platform is out. Its callers wait for a node that has a configuration: it must
-// get one from its peers, and must not say that it is ready before.
-Test(control, aFreshNodeIsServedByPeersWhileThePlatformIsDown)
+// A host is replaced during an outage of the platform. Its new node must get the configuration from its
+// peers, and must not report that it is ready before.
+Test(control, newNodePullsFromPeersDuringPlatformOutage)
 {
     Fixture fixture;
     fixture.platform.publish(configuration(3, 10));
@@ -225,8 +225,8 @@
     cr_assert(fixture.runUntil([&] { return fixture.nodes[2].holder->version() == 3; }));
 }
 
-// No seed is in the settings. The nodes must find each other through the rows that introducers keep in the
-// platform's table.
+// The settings name no seeds. The nodes must find each other through the introducers' rows in the platform's
+// table.
 Test(control, nodesFindEachOtherThroughIntroducers)
 {
     Fixture fixture;
@@ -239,9 +239,9 @@
     }));
 }
 
-// The platform's table comes back from a copy of before the introducers' rows, and one node notices. The
-// others hear of it and write theirs again; the next renewal is up to a minute away.
-Test(control, aReturnThatOneNodeNoticesIsHeardByAll)
+// The platform's table is restored from a copy without the introducers' rows, and one node notices it. The
+// others must learn of it and rewrite their rows at once, since the next renewal is up to a minute away.
+Test(control, restoredStoreIsAnnouncedToAllNodes)
 {
     Fixture fixture;
     fixture.startAll();
@@ -255,12 +255,12 @@
     fixture.platform.rows.clear();
     fixture.nodes[0].plane->noteStoreEra(7);
     cr_assert(fixture.runUntil([&] { return introducers() == 3; }));
-    cr_assert(fixture.nodes[1].heardEra == 7 && fixture.nodes[2].heardEra == 7);
+    cr_assert(fixture.nodes[1].receivedEra == 7 && fixture.nodes[2].receivedEra == 7);
 }
 
-// A version whose content does not check was accepted. Every node must keep the version that it holds, report
-// the bad one, and take the next good one.
-Test(control, aBadVersionIsRefusedWholeAndTheNextIsTaken)
+// A version with invalid content was published. Every node must keep the version that it holds, report the
+// invalid one, and apply the next valid one.
+Test(control, invalidVersionIsRejectedAndNextOneApplied)
 {
     Fixture fixture;
     fixture.platform.publish(configuration(1, 10));
@@ -274,7 +274,7 @@
     cr_assert(fixture.runUntil([&] { return fixture.allHold(3); }));
 }
 
-Test(control, aGoodbyeAndADrainAreSeen)
+Test(control, drainAndLeaveReachOtherNodes)
 {
     Fixture fixture;
     fixture.platform.publish(configuration(1, 10));
@@ -297,9 +297,9 @@
     cr_assert(fixture.runUntil([&] { return seenAs(MemberState::Left, UpstreamState::Draining); }));
 }
 
-// A node hears of a version and of a peer that holds it. It asks that peer at once: a wait at each node on
-// the way of a change would add up.
-Test(controlFollower, asksAPeerAsSoonAsItHears)
+// A node that learns of a new version and of a peer that holds it must pull at once: a delay at each node on
+// the path of a change would add up.
+Test(controlFollower, pullsAsSoonAsHolderIsKnown)
 {
     boost::asio::io_context context{1};
     FakePlatform platform(context);
@@ -317,16 +317,16 @@
     follower.pullIfNeeded();
     cr_assert(follower.counters().peerPulls == 1);
     follower.pullIfNeeded();
-    cr_assert(follower.counters().peerPulls == 1, "one at a time");
+    cr_assert(follower.counters().peerPulls == 1, "only one pull at a time");
 }
 
 namespace {
 
-// A source that can fall silent: reads that come meanwhile are never answered, not even once it is back.
-class SilencedSource
+// A version source that can stop answering: reads made meanwhile are never answered, even after it recovers.
+class StallingSource
 {
 public:
-    explicit SilencedSource(boost::asio::io_context &context)
+    explicit StallingSource(boost::asio::io_context &context)
         : context(context)
     {
     }
@@ -335,8 +335,8 @@
     {
         VersionSource made;
         made.readHead = [this](const HeadQuery &, HeadCallback callback) {
-            ++this->asked;
-            if (!this->silent)
+            ++this->reads;
+            if (!this->stalled)
                 boost::asio::post(this->context, [this, callback = std::move(callback)] {
                     callback(Head{this->version, {}, ""});
                 });
@@ -347,9 +347,9 @@
         return made;
     }
 
-    bool silent = false;
+    bool stalled = false;
     std::uint64_t version = 1;
-    std::size_t asked = 0;
+    std::size_t reads = 0;
 
 private:
     boost::asio::io_context &context;
@@ -357,15 +357,15 @@
 
 } // namespace
 
-// A caller is told 404 for a route that was confirmed seconds ago. The source falls silent while a node waits
-// for its answer; it is back, has a newer version, and answers whoever asks; but the node asked nobody until
-// the read that the silence swallowed had ended, which here it never does, and then paused for longer the
-// longer the outage had been. Evidence: lines of reads that were begun before an outage ended and given up
-// 4.0 s later (5008), at all nodes that watch, and the first answer (5007) only after those.
-Test(controlFollower, aReadThatIsNeverAnsweredHoldsUpNoOther)
+// Guards against callers getting 404 for a route that was published seconds ago. A read of the head was
+// pending when the source stopped answering, and was never answered. The node started no new read until the
+// pending one timed out, and then backed off for longer the longer the outage had been, although the source
+// had recovered with a newer version. Seen in the logs of all polling nodes: reads begun before the end of an
+// outage and given up 4.0 s later (event 5008), and the first success (5007) only after them.
+Test(controlFollower, unansweredReadDoesNotBlockLaterReads)
 {
     Fixture fixture;
-    SilencedSource platform(fixture.context);
+    StallingSource platform(fixture.context);
     std::uint64_t held = 0;
     FollowerHooks hooks;
     hooks.offer = [](const SiteConfiguration &) { return success(); };
@@ -382,10 +382,10 @@
     ControlFollower follower(fixture.context, "a", "s", platform.source(), settings, std::move(hooks), 1);
     follower.start();
     cr_assert(fixture.runUntil([&] { return held == 1; }));
-    platform.silent = true;
-    const std::size_t before = platform.asked;
-    cr_assert(fixture.runUntil([&] { return platform.asked > before; }));
-    platform.silent = false;
+    platform.stalled = true;
+    const std::size_t before = platform.reads;
+    cr_assert(fixture.runUntil([&] { return platform.reads > before; }));
+    platform.stalled = false;
     platform.version = 2;
-    cr_assert(fixture.runUntil([&] { return held == 2; }), "asked %zu times", platform.asked - before);
+    cr_assert(fixture.runUntil([&] { return held == 2; }), "reads %zu times", platform.reads - before);
 }
--- a/Tests/Control/TestIntroducers.cpp
+++ b/Tests/Control/TestIntroducers.cpp
@@ -1,4 +1,4 @@
-// Nodes that know nobody meet over rows of the platform's table, with few calls.
+// Nodes that know no other node find each other through the platform's table, with few calls.
 #include <Node/Control/ControlIntroducers.h>
 
 #include <Support/TableTest.h>
@@ -11,7 +11,7 @@
 
 namespace {
 
-// Rows that all nodes of a test share; counts the calls.
+// A table shared by all nodes of a test; counts the calls.
 class SharedTable
 {
 public:
@@ -20,8 +20,8 @@
         TablePort port;
         port.putIf = [this](const ConditionalPut &put, const WriteCallback &callback) {
             ++this->writes;
-            if (this->away)
-                return callback(makeError(ErrorKind::Unavailable, "write row", "table", "away"));
+            if (this->unavailable)
+                return callback(makeError(ErrorKind::Unavailable, "write row", "table", "unavailable"));
             this->rows[put.row.key] = put.row;
             callback(success());
         };
@@ -38,13 +38,13 @@
     }
 
     std::map<RowKey, Row> rows;
-    bool away = false;
+    bool unavailable = false;
     int writes = 0;
     int reads = 0;
 };
 
-// A node of the test: knows whom it found, and those know it back, as gossip would have it.
-struct MetNode
+// A simulated node and the addresses of the nodes that it knows.
+struct SimulatedNode
 {
     std::string address;
     std::string zone;
@@ -57,8 +57,8 @@
 public:
     void add(const std::string &zone)
     {
-        auto node = std::make_unique<MetNode>();
-        MetNode *self = node.get();
+        auto node = std::make_unique<SimulatedNode>();
+        SimulatedNode *self = node.get();
         node->address = "10.0.0." + std::to_string(this->nodes.size()) + ":1";
         node->zone = zone;
         IntroducerHooks hooks;
@@ -66,7 +66,7 @@
         hooks.knowsOthers = [self] { return !self->known.empty(); };
         hooks.found = [this, self](const std::vector<std::string> &addresses, bool) {
             for (const std::string &address : addresses)
-                this->meet(*self, address);
+                this->connect(*self, address);
         };
         node->introducers = std::make_unique<ControlIntroducers>(
             this->context, zone, node->address, this->table.port(),
@@ -82,7 +82,7 @@
         this->context.run_for(length);
     }
 
-    bool allMet() const
+    bool allKnown() const
     {
         return std::ranges::all_of(
             this->nodes, [&](const auto &node) { return node->known.size() + 1 == this->nodes.size(); });
@@ -94,13 +94,13 @@
             node->introducers->rewriteRow();
     }
 
-    void runOn(Duration length) { this->context.run_for(length); }
+    void continueFor(Duration length) { this->context.run_for(length); }
 
     SharedTable table;
-    std::vector<std::unique_ptr<MetNode>> nodes;
+    std::vector<std::unique_ptr<SimulatedNode>> nodes;
 
 private:
-    std::uint32_t rankOf(const MetNode &self) const
+    std::uint32_t rankOf(const SimulatedNode &self) const
     {
         std::uint32_t rank = 0;
         for (const auto &node : this->nodes)
@@ -109,8 +109,8 @@
         return rank;
     }
 
-    // Gossip: whoever two know between them, both know.
-    void meet(MetNode &self, const std::string &address)
+    // Simulates gossip: both nodes, and all that they know, learn of each other.
+    void connect(SimulatedNode &self, const std::string &address)
     {
         std::set<std::string> all = self.known;
         all.insert({self.address, address});
@@ -133,20 +133,20 @@
 {
     int zones;
     int nodesPerZone;
-    int mostCalls; // To the table, until all have met.
+    int maximumCalls; // To the table, until all nodes know each other.
 };
 
-// With a table that answers at once, 20, 125 and 235 calls when each round wrote and read everything, now 11,
-// 65 and 171. Where the table takes 4 ms an answer a node made 11 of them.
+// With a table that answers immediately, the rows take 11, 65 and 171 calls; when each round wrote and read
+// everything they took 20, 125 and 235. With an answer time of 4 ms, one node made 11 calls.
 const FleetRow fleetRows[] = {{1, 1, 15}, {1, 30, 80}, {3, 26, 200}};
 
-const bool refusesRows[] = {false, true};
+const bool unavailableRows[] = {false, true};
 
 } // namespace
 
-// A whole fleet starts at once, and the platform gives several hundred writes a second to everything.
-// Everybody must meet within a second, across zones too, with few calls.
-TABLE_TEST(introducers, aFleetThatStartsAtOnceMeetsWithFewCalls, fleetRows)
+// A whole fleet starts at once, and the platform allows only several hundred writes a second in total. All
+// nodes must know each other within a second, across zones too, with few calls.
+TABLE_TEST(introducers, nodesThatStartTogetherFindEachOtherWithFewCalls, fleetRows)
 {
     Fleet fleet;
     for (int zone = 0; zone < row.zones; ++zone) {
@@ -154,39 +154,40 @@
             fleet.add("z" + std::to_string(zone));
     }
     fleet.run(std::chrono::seconds(1));
-    cr_assert(fleet.allMet());
+    cr_assert(fleet.allKnown());
     const int calls = fleet.table.writes + fleet.table.reads;
-    cr_assert(calls <= row.mostCalls, "%d calls", calls);
+    cr_assert(calls <= row.maximumCalls, "%d calls", calls);
 }
 
-// The table is away while a node starts. Its row is written by the next round that finds it back.
-Test(introducers, aRowThatWasNotWrittenIsWrittenLater)
+// The table is unavailable while a node starts. A later round must write the row once it is available.
+Test(introducers, failedWriteIsRetried)
 {
     Fleet fleet;
     fleet.add("z0");
-    fleet.table.away = true;
+    fleet.table.unavailable = true;
     fleet.run(Milliseconds(40));
     cr_assert(fleet.table.rows.empty() && fleet.table.writes > 0);
-    fleet.table.away = false;
+    fleet.table.unavailable = false;
     fleet.run(Milliseconds(400));
     cr_assert(!fleet.table.rows.empty());
 }
 
-// The table comes back from a copy of before the rows of a zone were written. Who starts then would find
-// nobody until they are renewed. Only those who have a place write, and a table that refuses is asked again.
-TABLE_TEST(introducers, rowsThatTheTableLostAreWrittenAgain, refusesRows)
+// The table is restored from a copy that lacks the rows of a zone. A node that starts then would find no
+// introducer until the rows are renewed. Only the introducers rewrite their rows, and a failed write is
+// retried.
+TABLE_TEST(introducers, lostRowsAreRewritten, unavailableRows)
 {
     Fleet fleet;
     for (int node = 0; node < 8; ++node)
         fleet.add("z0");
     fleet.run(std::chrono::seconds(1));
-    cr_assert(fleet.allMet());
+    cr_assert(fleet.allKnown());
     fleet.table.rows.clear();
     fleet.table.writes = 0;
-    fleet.table.away = row;
+    fleet.table.unavailable = row;
     fleet.rewriteRow();
     cr_assert(fleet.table.writes == introducersPerZone);
-    fleet.table.away = false;
-    fleet.runOn(row ? Milliseconds(2000) : Milliseconds(0));
+    fleet.table.unavailable = false;
+    fleet.continueFor(row ? Milliseconds(2000) : Milliseconds(0));
     cr_assert(fleet.table.rows.size() == introducersPerZone, "%zu rows", fleet.table.rows.size());
 }
