--- a/Services/Node/Upstream/CrashHistory.cpp
+++ b/Services/Node/Upstream/CrashHistory.cpp
@@ -1,4 +1,4 @@
-// Text of kept crashes: entries of three hexadecimal numbers.
+// Serializes the crash history as entries "request:crash:expiry;" of hexadecimal numbers.
 #include "CrashHistory.h"
 
 #include <algorithm>
@@ -23,7 +23,7 @@
     text.push_back(end);
 }
 
-// Takes what stands before `end` off the front.
+// Removes the text up to and including `end` from the front and parses it.
 std::optional<std::uint64_t> takeNumber(std::string_view &text, char end)
 {
     const std::size_t length = std::min(text.find(end), text.size());
@@ -48,30 +48,31 @@
 void CrashHistory::add(const std::vector<CrashRecord> &crashes)
 {
     for (const CrashRecord &crash : crashes) {
-        if (std::ranges::find(this->kept, crash) == this->kept.end())
-            this->kept.push_back(crash);
+        if (std::ranges::find(this->records, crash) == this->records.end())
+            this->records.push_back(crash);
     }
-    if (this->kept.size() > maximumCrashRecords)
-        this->kept.erase(this->kept.begin(), this->kept.end() - maximumCrashRecords);
+    if (this->records.size() > maximumCrashRecords)
+        this->records.erase(this->records.begin(), this->records.end() - maximumCrashRecords);
 }
 
 bool CrashHistory::remove(std::uint64_t request, std::uint64_t crash)
 {
-    return std::erase_if(this->kept,
-                         [&](const CrashRecord &one) { return one.request == request && one.crash == crash; })
+    return std::erase_if(
+               this->records,
+               [&](const CrashRecord &record) { return record.request == request && record.crash == crash; })
            > 0;
 }
 
 void CrashHistory::dropExpired(std::uint64_t nowMilliseconds)
 {
-    std::erase_if(this->kept,
+    std::erase_if(this->records,
                   [nowMilliseconds](const CrashRecord &crash) { return crash.expiresAt <= nowMilliseconds; });
 }
 
 std::string CrashHistory::serialize() const
 {
     std::string text;
-    for (const CrashRecord &crash : this->kept) {
+    for (const CrashRecord &crash : this->records) {
         append(text, crash.request, fieldEnd);
         append(text, crash.crash, fieldEnd);
         append(text, crash.expiresAt, entryEnd);
--- a/Services/Node/Upstream/CrashHistory.h
+++ b/Services/Node/Upstream/CrashHistory.h
@@ -1,5 +1,4 @@
-// Crashes of the upstream beside this node, in the form in which they are kept where they outlive the
-// process.
+// The crashes of the upstream beside this node, in the form in which they are persisted.
 #pragma once
 
 #include <cstdint>
@@ -9,11 +8,11 @@
 
 namespace Sagecrank {
 
-// One request that ran at one crash.
+// A request that was running when the upstream crashed.
 struct CrashRecord
 {
-    std::uint64_t request = 0; // Its fingerprint.
-    std::uint64_t crash = 0;
+    std::uint64_t request = 0;   // Fingerprint of the request.
+    std::uint64_t crash = 0;     // Id of the crash.
     std::uint64_t expiresAt = 0; // Unix milliseconds.
 
     bool operator==(const CrashRecord &) const = default;
@@ -21,7 +20,7 @@
 
 std::uint64_t unixMilliseconds();
 
-// The newest of them; more would not change what is refused, and the row stays small.
+// Only the newest are kept: more would not change which requests are quarantined, and the row stays small.
 inline constexpr std::size_t maximumCrashRecords = 64;
 
 class CrashHistory
@@ -30,19 +29,19 @@
     // Commands.
 
     void add(const std::vector<CrashRecord> &crashes);
-    bool remove(std::uint64_t request, std::uint64_t crash); // Whether it was there.
+    bool remove(std::uint64_t request, std::uint64_t crash); // Returns whether it was present.
     void dropExpired(std::uint64_t nowMilliseconds);
 
     // Queries.
 
-    const std::vector<CrashRecord> &crashes() const { return this->kept; }
+    const std::vector<CrashRecord> &crashes() const { return this->records; }
     std::string serialize() const;
 
-    // Entries that another writer has spoilt are left out.
+    // Skips malformed entries.
     static CrashHistory parse(std::string_view text);
 
 private:
-    std::vector<CrashRecord> kept; // Oldest first, each once.
+    std::vector<CrashRecord> records; // Oldest first, without duplicates.
 };
 
 } // namespace Sagecrank
--- a/Services/Node/Upstream/UpstreamPresence.cpp
+++ b/Services/Node/Upstream/UpstreamPresence.cpp
@@ -1,4 +1,4 @@
-// Keeps the gate and the membership told of what the upstream says.
+// Applies the announcements of the upstream and passes changes to the gate and the membership.
 #include "UpstreamPresence.h"
 
 #include <utility>
@@ -35,15 +35,15 @@
     return {announcement.instance, announcement.startedAt};
 }
 
-UpstreamPresence::UpstreamPresence(UpstreamPresenceHooks hooks, Duration life)
+UpstreamPresence::UpstreamPresence(UpstreamPresenceHooks hooks, Duration lifetime)
     : hooks(std::move(hooks))
-    , life(life)
+    , lifetime(lifetime)
 {
 }
 
-// Failure: an announcement is held up on its way, and another start of the upstream has announced itself
-// meanwhile. Symptom: the new one is taken out, or calls go to one that has ended. The later start wins, and
-// within one start the higher number; a start that said goodbye does not come back.
+// A delayed announcement may arrive after a newer instance of the upstream has announced itself. Applying it
+// would remove the new instance, or send calls to one that has ended. So the later instance wins, and within
+// one instance the higher sequence number; an instance that announced that it is gone does not return.
 bool UpstreamPresence::isStale(const UpstreamAnnouncement &announcement) const
 {
     if (this->lastState == UpstreamState::None || announcement.instance.empty())
@@ -52,7 +52,7 @@
         return announcement.startedAt < this->last.startedAt;
     if (announcement.instance != this->last.instance)
         return false;
-    if (this->lastState == UpstreamState::Gone && this->saidGoodbye)
+    if (this->lastState == UpstreamState::Gone && this->announcedGone)
         return true;
     return announcement.sequence < this->last.sequence;
 }
@@ -65,66 +65,67 @@
         return AnnouncementResult::Stale;
     if (takesCalls(state) && this->hasDeparted(now, announcement))
         return AnnouncementResult::Stale;
-    if (!this->isHeldBack(announcement, state))
-        this->take(now, announcement, state);
+    if (!this->holdBack(announcement, state))
+        this->apply(now, announcement, state);
     return AnnouncementResult::Accepted;
 }
 
 bool UpstreamPresence::hasDeparted(Instant now, const UpstreamAnnouncement &announcement) const
 {
-    if (this->goodbye == announcement.instance && now < this->nameEnds)
+    if (this->departedUnknown == announcement.instance && now < this->nameRejectedUntil)
         return true;
     if (!this->departed || this->departed->instance != announcement.instance)
         return false;
-    return this->departed->startedAt == 0 ? now < this->nameEnds
+    return this->departed->startedAt == 0 ? now < this->nameRejectedUntil
                                           : this->departed->startedAt == announcement.startedAt;
 }
 
-void UpstreamPresence::take(Instant now, const UpstreamAnnouncement &announcement, UpstreamState state)
+void UpstreamPresence::apply(Instant now, const UpstreamAnnouncement &announcement, UpstreamState state)
 {
     const bool isNamed = !announcement.instance.empty();
     if (isNamed && takesCalls(state) && this->hooks.serving)
         this->hooks.serving(announcement);
     if (isNamed && !takesCalls(state) && this->hooks.leaving)
         this->hooks.leaving(departureOf(announcement));
-    this->saidGoodbye = state == UpstreamState::Gone;
+    this->announcedGone = state == UpstreamState::Gone;
     this->renewedAt = now;
-    this->tell(announcement, this->draining && takesCalls(state) ? UpstreamState::Draining : state);
+    this->publish(announcement, this->draining && takesCalls(state) ? UpstreamState::Draining : state);
 }
 
-bool UpstreamPresence::isHeldBack(const UpstreamAnnouncement &announcement, UpstreamState state)
+bool UpstreamPresence::holdBack(const UpstreamAnnouncement &announcement, UpstreamState state)
 {
-    if (!this->awaitsRecall || !takesCalls(state) || this->lastState != UpstreamState::None
+    if (!this->awaitsPersistedState || !takesCalls(state) || this->lastState != UpstreamState::None
         || announcement.instance.empty())
         return false;
     if (this->held && departureOf(this->held->announcement) == departureOf(announcement)
         && announcement.sequence > this->held->announcement.sequence)
         return false;
     if (!this->held || announcement.startedAt >= this->held->announcement.startedAt)
-        this->held = HeldWord{announcement, state};
+        this->held = HeldAnnouncement{announcement, state};
     return true;
 }
 
 void UpstreamPresence::awaitPersistedState()
 {
     const std::lock_guard guard(this->mutex);
-    this->awaitsRecall = true;
+    this->awaitsPersistedState = true;
 }
 
 void UpstreamPresence::persistedStateLoaded(Instant now, const PersistedUpstream &upstream)
 {
     const std::lock_guard guard(this->mutex);
-    this->awaitsRecall = false;
+    this->awaitsPersistedState = false;
     this->departed = upstream.departure;
     if (this->departed && this->departed->startedAt == 0)
-        this->nameEnds = now + departedNameTimeout;
-    std::optional<HeldWord> word = std::exchange(this->held, std::nullopt);
-    if (upstream.serving && (!word || word->announcement.startedAt < upstream.serving->startedAt))
-        word = HeldWord{*upstream.serving, UpstreamState::Ready};
+        this->nameRejectedUntil = now + departedNameTimeout;
+    std::optional<HeldAnnouncement> restored = std::exchange(this->held, std::nullopt);
+    if (upstream.serving && (!restored || restored->announcement.startedAt < upstream.serving->startedAt))
+        restored = HeldAnnouncement{*upstream.serving, UpstreamState::Ready};
     if (takesCalls(this->lastState) && this->hasDeparted(now, this->last))
-        this->tell(this->last, UpstreamState::Draining);
-    else if (word && this->lastState == UpstreamState::None && !this->hasDeparted(now, word->announcement))
-        this->take(now, word->announcement, word->state);
+        this->publish(this->last, UpstreamState::Draining);
+    else if (restored && this->lastState == UpstreamState::None
+             && !this->hasDeparted(now, restored->announcement))
+        this->apply(now, restored->announcement, restored->state);
 }
 
 AnnouncementResult UpstreamPresence::left(Instant now, const std::string &instance)
@@ -133,20 +134,20 @@
     if (this->lastState == UpstreamState::None && this->held && this->held->announcement.instance == instance)
         this->last = this->held->announcement;
     else if (this->lastState == UpstreamState::None)
-        return this->leftUnknown(now, instance);
+        return this->unknownInstanceLeft(now, instance);
     else if (instance != this->last.instance)
         return AnnouncementResult::Stale;
-    this->take(now, UpstreamAnnouncement(this->last), UpstreamState::Gone);
+    this->apply(now, UpstreamAnnouncement(this->last), UpstreamState::Gone);
     return AnnouncementResult::Accepted;
 }
 
-// Failure: a node is started anew, and the first word that it hears of its upstream is a goodbye. Symptom:
-// the row of the start that serves, or a late announcement, brings back an upstream that was told that it
-// gets no more.
-AnnouncementResult UpstreamPresence::leftUnknown(Instant now, const std::string &instance)
+// After a restart of the node, the first message from its upstream may say that it leaves. Without a record
+// of this, the persisted row of the serving instance or a delayed announcement would bring back an upstream
+// that was promised no more calls.
+AnnouncementResult UpstreamPresence::unknownInstanceLeft(Instant now, const std::string &instance)
 {
-    this->goodbye = instance;
-    this->nameEnds = now + departedNameTimeout;
+    this->departedUnknown = instance;
+    this->nameRejectedUntil = now + departedNameTimeout;
     if (this->hooks.leaving)
         this->hooks.leaving({instance, 0});
     return AnnouncementResult::Accepted;
@@ -156,10 +157,10 @@
 {
     const std::lock_guard guard(this->mutex);
     const bool present = this->lastState != UpstreamState::None && this->lastState != UpstreamState::Gone;
-    if (!present || now - this->renewedAt <= this->life)
+    if (!present || now - this->renewedAt <= this->lifetime)
         return;
     this->hooks.silent(this->last.cluster);
-    this->tell(this->last, UpstreamState::Gone);
+    this->publish(this->last, UpstreamState::Gone);
 }
 
 void UpstreamPresence::drain()
@@ -167,7 +168,7 @@
     const std::lock_guard guard(this->mutex);
     this->draining = true;
     if (takesCalls(this->lastState))
-        this->tell(this->last, UpstreamState::Draining);
+        this->publish(this->last, UpstreamState::Draining);
 }
 
 UpstreamState UpstreamPresence::state() const
@@ -179,12 +180,12 @@
 bool UpstreamPresence::isLeaving() const
 {
     const std::lock_guard guard(this->mutex);
-    const bool unknownLeft = this->lastState == UpstreamState::None && this->goodbye;
-    return unknownLeft || this->lastState == UpstreamState::Draining
+    const bool unknownDeparted = this->lastState == UpstreamState::None && this->departedUnknown;
+    return unknownDeparted || this->lastState == UpstreamState::Draining
            || this->lastState == UpstreamState::Gone;
 }
 
-void UpstreamPresence::tell(const UpstreamAnnouncement &announcement, UpstreamState state)
+void UpstreamPresence::publish(const UpstreamAnnouncement &announcement, UpstreamState state)
 {
     const bool changed = state != this->lastState || announcement.cluster != this->last.cluster
                          || announcement.slots != this->last.slots;
--- a/Services/Node/Upstream/UpstreamPresence.h
+++ b/Services/Node/Upstream/UpstreamPresence.h
@@ -1,5 +1,5 @@
-// The upstream beside this node as it announces itself. It has to say so again and again: one that falls
-// silent without a word is taken as gone.
+// Tracks the state of the upstream beside this node from its announcements. The upstream renews its
+// announcement periodically; one that stops doing so is considered gone.
 #pragma once
 
 #include "CrashHistory.h"
@@ -15,103 +15,102 @@
 
 namespace Sagecrank {
 
-// An upstream renews its announcement each second; three missed ones in a row are no accident.
+// An upstream renews its announcement every second, so this is three missed renewals.
 inline constexpr Duration announcementLife = std::chrono::seconds(3);
 
-// A goodbye that a node hears before anything else tells no start. For so long nothing of that name is
-// believed: longer than a start goes on after its goodbye and than an announcement is held up. The same name,
-// started anew, waits as long at most.
+// When the first message that a node gets from its upstream says that it leaves, the start time of that
+// instance is unknown. For this long, every announcement under that name is rejected: longer than an instance
+// runs on after it announced that it leaves, and longer than an announcement can be delayed. A new instance
+// with the same name waits at most this long.
 inline constexpr Duration departedNameTimeout = std::chrono::seconds(15);
 
-// What an upstream's own word means to those who send it calls.
+// The condition of an upstream, as its callers see it, in the announced state.
 UpstreamCondition conditionOf(UpstreamState state);
 
 enum class AnnouncementResult : std::uint8_t {
     Accepted,
-    Stale, // Of an earlier start, or sent before one that is known already.
+    Stale, // From an earlier instance, or older than an announcement already accepted.
 };
 
-// The start of an upstream that said that it leaves.
+// An upstream instance that announced that it leaves.
 struct Departure
 {
     std::string instance;
-    std::uint64_t startedAt =
-        0; // As in UpstreamAnnouncement; zero: any start of this name, for `departedNameTimeout`.
+    std::uint64_t startedAt = 0; // 0: any instance of this name, for `departedNameTimeout`.
 
     bool operator==(const Departure &) const = default;
 };
 
 Departure departureOf(const UpstreamAnnouncement &announcement);
 
-// What an earlier process of this node knew.
+// What an earlier process of this node persisted.
 struct PersistedUpstream
 {
-    std::optional<UpstreamAnnouncement> serving; // The last start that took calls.
-    std::optional<Departure> departure;          // The last start whose leaving was confirmed.
+    std::optional<UpstreamAnnouncement> serving; // The last instance that took calls.
+    std::optional<Departure> departure;          // The last instance whose departure was confirmed.
     std::vector<CrashRecord> crashes;
 };
 
 struct UpstreamPresenceHooks
 {
-    std::function<void(const std::string &cluster)> silent; // It stopped announcing itself.
-    std::function<void(const UpstreamAnnouncement &)> gate; // At every announcement.
+    std::function<void(const std::string &cluster)> silent; // The upstream stopped announcing itself.
+    std::function<void(const UpstreamAnnouncement &)> gate; // On every announcement.
     std::function<void(const std::string &cluster, UpstreamState state, std::uint32_t slots)>
-        membership; // At changes.
-    // At every word of a start that drains or has gone, before it is confirmed. May be empty.
+        membership; // Only on changes.
+    // On every announcement of an instance that drains or is gone, before it is confirmed. May be empty.
     std::function<void(const Departure &)> leaving = {};
-    // At every word of a start that takes calls. May be empty.
+    // On every announcement of an instance that takes calls. May be empty.
     std::function<void(const UpstreamAnnouncement &)> serving = {};
 };
 
-// Safe to use from every thread; the hooks run on the caller's.
+// Thread-safe; the hooks run on the calling thread.
 class UpstreamPresence
 {
 public:
-    explicit UpstreamPresence(UpstreamPresenceHooks hooks, Duration life = announcementLife);
+    explicit UpstreamPresence(UpstreamPresenceHooks hooks, Duration lifetime = announcementLife);
 
     AnnouncementResult announced(Instant now, UpstreamAnnouncement announcement, UpstreamState state);
-    // The start of the upstream that the instance names leaves; nothing is known of it but its name.
+    // The named instance leaves. Its start time is not known.
     AnnouncementResult left(Instant now, const std::string &instance);
-    void advance(Instant now); // Notices silence.
+    void advance(Instant now); // Detects missing announcements.
 
-    // From now on a first "ready" is held back until `recalled` says what an earlier process knew, or until
-    // the same start says so once more: two of its words that were both held up are less likely than a table
-    // that does not answer, and an upstream that is kept out for longer serves nobody.
+    // From now on a first "ready" is held back until `persistedStateLoaded` is called, or until the same
+    // instance announces it again: two delayed announcements are less likely than an unavailable table, and
+    // an upstream that is held back longer serves no calls.
     void awaitPersistedState();
     void persistedStateLoaded(Instant now, const PersistedUpstream &upstream);
-    void drain(); // The node leaves: whatever the upstream says, it drains.
+    void drain(); // The node leaves, so the upstream drains whatever it announces.
 
     UpstreamState state() const;
-    bool
-    isLeaving() const; // It drains or has gone, by its own word or because the node leaves, known or not.
+    bool isLeaving() const; // Draining or gone, by its own announcement or because the node drains.
 
 private:
-    struct HeldWord
+    struct HeldAnnouncement
     {
         UpstreamAnnouncement announcement;
         UpstreamState state = UpstreamState::None;
     };
 
-    AnnouncementResult leftUnknown(Instant now, const std::string &instance);
-    void take(Instant now, const UpstreamAnnouncement &announcement, UpstreamState state);
-    void tell(const UpstreamAnnouncement &announcement, UpstreamState state);
+    AnnouncementResult unknownInstanceLeft(Instant now, const std::string &instance);
+    void apply(Instant now, const UpstreamAnnouncement &announcement, UpstreamState state);
+    void publish(const UpstreamAnnouncement &announcement, UpstreamState state);
     bool hasDeparted(Instant now, const UpstreamAnnouncement &announcement) const;
-    bool isHeldBack(const UpstreamAnnouncement &announcement, UpstreamState state);
+    bool holdBack(const UpstreamAnnouncement &announcement, UpstreamState state);
     bool isStale(const UpstreamAnnouncement &announcement) const;
 
     const UpstreamPresenceHooks hooks;
-    const Duration life; // Of an announcement that is not renewed.
+    const Duration lifetime; // How long an announcement is valid without renewal.
     mutable std::mutex mutex;
     UpstreamAnnouncement last;
     UpstreamState lastState = UpstreamState::None;
     Instant renewedAt;
-    bool saidGoodbye = false; // The last start announced that it has gone.
-    bool draining = false;    // Never taken back in this process's life.
-    bool awaitsRecall = false;
-    std::optional<HeldWord> held;       // Set only while `awaitsRecall`.
-    std::optional<Departure> departed;  // As recalled.
-    std::optional<std::string> goodbye; // Said before anything else to this process.
-    Instant nameEnds;                   // When what names no start counts no longer.
+    bool announcedGone = false; // The last instance announced that it is gone.
+    bool draining = false;      // Never reset.
+    bool awaitsPersistedState = false;
+    std::optional<HeldAnnouncement> held;       // Set only while `awaitsPersistedState`.
+    std::optional<Departure> departed;          // From the persisted state.
+    std::optional<std::string> departedUnknown; // Instance that left before it was known to this process.
+    Instant nameRejectedUntil; // End of `departedNameTimeout` for a departure without a start time.
 };
 
 } // namespace Sagecrank
--- a/Services/Node/Upstream/UpstreamRecord.cpp
+++ b/Services/Node/Upstream/UpstreamRecord.cpp
@@ -1,4 +1,4 @@
-// Keeps and reads the rows about the upstream beside the node.
+// Reads and writes the persisted rows of the upstream beside the node.
 #include "UpstreamRecord.h"
 
 #include <algorithm>
@@ -38,7 +38,7 @@
              {slotsAttribute, std::uint64_t{announcement.slots}}}};
 }
 
-// Rows that another writer has spoilt name nobody.
+// Malformed rows are ignored.
 std::optional<Departure> decodeDeparture(const Row &row)
 {
     const std::string *instance = row.text(instanceAttribute);
@@ -50,37 +50,37 @@
 
 std::optional<UpstreamAnnouncement> decodeServing(const Row &row)
 {
-    const std::optional<Departure> start = decodeDeparture(row);
+    const std::optional<Departure> instance = decodeDeparture(row);
     const std::string *cluster = row.text(clusterAttribute);
     const std::string *address = row.text(addressAttribute);
     const std::uint64_t *slots = row.number(slotsAttribute);
-    if (!start || cluster == nullptr || address == nullptr || slots == nullptr || *slots == 0)
+    if (!instance || cluster == nullptr || address == nullptr || slots == nullptr || *slots == 0)
         return std::nullopt;
     UpstreamAnnouncement announcement;
     announcement.cluster = *cluster;
     announcement.address = *address;
     announcement.slots = static_cast<std::uint32_t>(*slots);
-    announcement.instance = start->instance;
-    announcement.startedAt = start->startedAt;
+    announcement.instance = instance->instance;
+    announcement.startedAt = instance->startedAt;
     return announcement;
 }
 
 PersistedUpstream decodeRows(const std::vector<Row> &rows)
 {
-    PersistedUpstream recalled;
+    PersistedUpstream upstream;
     for (const Row &row : rows) {
         if (row.key.sort == leavingRow)
-            recalled.departure = decodeDeparture(row);
+            upstream.departure = decodeDeparture(row);
         if (row.key.sort == servingRow)
-            recalled.serving = decodeServing(row);
+            upstream.serving = decodeServing(row);
         const std::string *requests = row.text(requestsAttribute);
         if (row.key.sort == crashesRow && requests != nullptr)
-            recalled.crashes = CrashHistory::parse(*requests).crashes();
+            upstream.crashes = CrashHistory::parse(*requests).crashes();
     }
-    return recalled;
+    return upstream;
 }
 
-bool isSameStart(const std::optional<UpstreamAnnouncement> &known, const UpstreamAnnouncement &other)
+bool isSameInstance(const std::optional<UpstreamAnnouncement> &known, const UpstreamAnnouncement &other)
 {
     return known && departureOf(*known) == departureOf(other) && known->slots == other.slots
            && known->cluster == other.cluster && known->address == other.address;
@@ -103,40 +103,41 @@
 {
     QueryRequest request;
     request.partition = keyOf(this->node, leavingRow).partition;
-    this->table.query(request, [this, returnsBefore = this->returns](const Result<std::vector<Row>> &rows) {
-        if (rows)
-            return this->takeRecalled(decodeRows(rows.value()), returnsBefore);
-        this->hooks.failed(rows.error());
-        this->readTimer.expires_after(this->nextPause);
-        this->nextPause = std::min(this->nextPause * 2, maximumRecordRetryDelay);
-        this->readTimer.async_wait([this](const boost::system::error_code &error) {
-            if (!error)
-                this->load();
-        });
-    });
+    this->table.query(request,
+                      [this, restoresBefore = this->restoreCount](const Result<std::vector<Row>> &rows) {
+                          if (rows)
+                              return this->applyLoaded(decodeRows(rows.value()), restoresBefore);
+                          this->hooks.failed(rows.error());
+                          this->readTimer.expires_after(this->nextReadDelay);
+                          this->nextReadDelay = std::min(this->nextReadDelay * 2, maximumRecordRetryDelay);
+                          this->readTimer.async_wait([this](const boost::system::error_code &error) {
+                              if (!error)
+                                  this->load();
+                          });
+                      });
 }
 
-void UpstreamRecord::takeRecalled(const PersistedUpstream &found, std::uint32_t returnsBefore)
+void UpstreamRecord::applyLoaded(const PersistedUpstream &loaded, std::uint32_t restoresBefore)
 {
     if (!this->serving)
-        this->serving = found.serving;
-    this->crashes.add(found.crashes);
-    if (!this->noted) {
-        this->noted = found.departure;
-        this->keptNow = found.departure;
-        if (returnsBefore != this->returns)
-            this->writeLeavingAgain(); // It was read before the return.
+        this->serving = loaded.serving;
+    this->crashes.add(loaded.crashes);
+    if (!this->recordedDeparture) {
+        this->recordedDeparture = loaded.departure;
+        this->persistedDeparture = loaded.departure;
+        if (restoresBefore != this->restoreCount)
+            this->rewriteDeparture(); // The rows may have been read before the restore.
     }
-    this->hooks.loaded(found);
+    this->hooks.loaded(loaded);
 }
 
 void UpstreamRecord::recordServing(const UpstreamAnnouncement &announcement)
 {
-    if (!this->crashesKept)
+    if (!this->crashesPersisted)
         this->writeCrashes();
-    if (!this->servingIsLost && isSameStart(this->serving, announcement))
+    if (!this->servingNeedsRewrite && isSameInstance(this->serving, announcement))
         return;
-    this->servingIsLost = false;
+    this->servingNeedsRewrite = false;
     this->serving = announcement;
     this->servingWrittenAt = SteadyClock::now();
     this->table.putIf({encodeServing(keyOf(this->node, servingRow), announcement), {}},
@@ -155,113 +156,115 @@
 void UpstreamRecord::removeCrash(std::uint64_t request, std::uint64_t crash)
 {
     if (this->crashes.remove(request, crash))
-        this->crashesKept = false;
+        this->crashesPersisted = false;
 }
 
 void UpstreamRecord::writeCrashes()
 {
     this->crashes.dropExpired(unixMilliseconds());
-    this->crashesKept = true;
+    this->crashesPersisted = true;
     const Row row{keyOf(this->node, crashesRow), {{requestsAttribute, this->crashes.serialize()}}};
     this->table.putIf({row, {}}, [this](const Result<void> &result) {
         if (result)
             return;
-        this->crashesKept = false;
+        this->crashesPersisted = false;
         this->hooks.failed(result.error());
     });
 }
 
 void UpstreamRecord::recordDeparture(const Departure &departure)
 {
-    this->noted = departure;
-    if (!this->writing && !this->isKept())
-        this->write();
+    this->recordedDeparture = departure;
+    if (!this->writing && !this->isPersisted())
+        this->writeDeparture();
 }
 
 void UpstreamRecord::rewriteAfterRestore(Instant now)
 {
-    this->crashesKept = this->crashesKept && this->crashes.crashes().empty();
-    ++this->returns;
-    this->servingIsLost = this->servingWrittenAt && now - *this->servingWrittenAt < maximumBackupAge;
-    this->writeLeavingAgain();
+    this->crashesPersisted = this->crashesPersisted && this->crashes.crashes().empty();
+    ++this->restoreCount;
+    this->servingNeedsRewrite = this->servingWrittenAt && now - *this->servingWrittenAt < maximumBackupAge;
+    this->rewriteDeparture();
 }
 
-void UpstreamRecord::writeLeavingAgain()
+void UpstreamRecord::rewriteDeparture()
 {
-    if (!this->noted || this->isOutlived(*this->noted))
+    if (!this->recordedDeparture || this->isSuperseded(*this->recordedDeparture))
         return;
-    this->keptNow.reset();
-    this->owed = true;
-    this->nextWritePause = recordRetryDelay;
+    this->persistedDeparture.reset();
+    this->rewritePending = true;
+    this->nextWriteDelay = recordRetryDelay;
     if (!this->writing)
-        this->write();
+        this->writeDeparture();
 }
 
-bool UpstreamRecord::isOutlived(const Departure &departure) const
+bool UpstreamRecord::isSuperseded(const Departure &departure) const
 {
     return this->serving && departure.startedAt != 0 && this->serving->startedAt > departure.startedAt;
 }
 
-// Failure: the table answers with refusals for a while after it came back, and the upstream that left says
-// nothing more. Symptom: its leaving stays lost. So what was confirmed is written until it stands.
-void UpstreamRecord::writeLater()
+// After a restore the table may reject writes for a while, and an upstream that left sends no further
+// announcement. So a confirmed departure is rewritten until the write succeeds.
+void UpstreamRecord::scheduleRewrite()
 {
-    this->writeTimer.expires_after(this->nextWritePause);
-    this->nextWritePause = std::min(this->nextWritePause * 2, maximumRecordRetryDelay);
+    this->writeTimer.expires_after(this->nextWriteDelay);
+    this->nextWriteDelay = std::min(this->nextWriteDelay * 2, maximumRecordRetryDelay);
     this->writeTimer.async_wait([this](const boost::system::error_code &error) {
-        if (!error && this->owed && !this->writing)
-            this->write();
+        if (!error && this->rewritePending && !this->writing)
+            this->writeDeparture();
     });
 }
 
-void UpstreamRecord::write()
+void UpstreamRecord::writeDeparture()
 {
     this->writing = true;
-    this->table.putIf({encodeDeparture(keyOf(this->node, leavingRow), *this->noted), {}},
-                      [this, departure = *this->noted, returnsBefore = this->returns](
-                          const Result<void> &result) { this->written(departure, result, returnsBefore); });
+    this->table.putIf({encodeDeparture(keyOf(this->node, leavingRow), *this->recordedDeparture), {}},
+                      [this, departure = *this->recordedDeparture,
+                       restoresBefore = this->restoreCount](const Result<void> &result) {
+                          this->departureWritten(departure, result, restoresBefore);
+                      });
 }
 
-void UpstreamRecord::written(const Departure &departure, const Result<void> &result,
-                             std::uint32_t returnsBefore)
+void UpstreamRecord::departureWritten(const Departure &departure, const Result<void> &result,
+                                      std::uint32_t restoresBefore)
 {
     this->writing = false;
     if (!result) {
-        this->keptNow.reset(); // Not known; the next word of the upstream has it written again.
+        this->persistedDeparture.reset(); // Unknown; the next announcement of the upstream writes it again.
         this->hooks.failed(result.error());
-        if (this->owed)
-            this->writeLater();
-        return this->release();
+        if (this->rewritePending)
+            this->scheduleRewrite();
+        return this->answerWaiting();
     }
-    if (returnsBefore != this->returns)
-        return this->write(); // Answered before the return, or after it: not known.
-    this->owed = false;
-    this->keptNow = departure;
+    if (restoresBefore != this->restoreCount)
+        return this->writeDeparture(); // Acknowledged before or after the restore, which is not known.
+    this->rewritePending = false;
+    this->persistedDeparture = departure;
     this->hooks.departurePersisted(departure);
-    if (!this->isKept())
-        return this->write();
-    this->release();
+    if (!this->isPersisted())
+        return this->writeDeparture();
+    this->answerWaiting();
 }
 
 void UpstreamRecord::whenPersisted(std::function<void(bool)> answer)
 {
     if (!this->writing)
-        return answer(this->isKept());
+        return answer(this->isPersisted());
     this->waiting.push_back(std::move(answer));
     if (this->waiting.size() > 1)
         return;
     this->waitTimer.expires_after(departureWriteTimeout);
     this->waitTimer.async_wait([this](const boost::system::error_code &error) {
         if (!error)
-            this->release();
+            this->answerWaiting();
     });
 }
 
-void UpstreamRecord::release()
+void UpstreamRecord::answerWaiting()
 {
     this->waitTimer.cancel();
     for (const std::function<void(bool)> &answer : std::exchange(this->waiting, {}))
-        answer(this->isKept());
+        answer(this->isPersisted());
 }
 
 } // namespace Sagecrank
--- a/Services/Node/Upstream/UpstreamRecord.h
+++ b/Services/Node/Upstream/UpstreamRecord.h
@@ -1,20 +1,19 @@
-// What this node believes of the upstream beside it, kept where it outlives the process: which start serves,
-// which start's leaving was confirmed, and what ran when a start crashed. Three rows a node, the first two
-// written once a start, the last one at a crash.
+// Persists the state of the upstream beside this node across restarts of the node: which instance serves,
+// which instance's departure was confirmed, and which requests ran when an instance crashed. Three rows for
+// each node; the first two are written once for each instance, the last one at a crash.
 //
-// Failure: an upstream says that it drains, the node confirms and is killed. The next process knows nothing;
-// an announcement of before the drain, held up on its way, says "ready". Symptom: calls reach an upstream
-// that was promised to get none and ends in a moment. So nothing is confirmed before a row names the start
-// that leaves, and a new process reads that row before it believes a first "ready".
+// A departure is persisted before it is confirmed, and a new process reads that row before it accepts a first
+// "ready". Otherwise, when a node confirms a drain and is killed, a delayed "ready" from before the drain
+// would make its next process send calls to an upstream that was promised none and is about to end.
 //
-// Load: hosts are restarted one after the other, and upstreams announce themselves each second or two. Harm
-// of waiting for that word: each restart takes its upstream out for up to two seconds more. A new process
-// goes by the row of the start that serves until that start speaks; a call names the start that it is meant
-// for, so another one there refuses it.
+// Upstreams announce themselves every one or two seconds. Waiting for that after a restart of the node would
+// take its upstream out for up to two more seconds, which adds up when hosts are restarted one after the
+// other. So a new process uses the row of the serving instance until that instance announces itself. A call
+// names the instance that it is meant for, so another instance at the address refuses it.
 //
-// Failure: the table comes back from an older copy. Symptom: a leaving that was confirmed stands nowhere any
-// more, and the next process of the node takes a late word of that start for its upstream's. So the process
-// that knows of it writes it again, until it stands.
+// When the table is restored from an older copy, a confirmed departure may be lost, and the next process
+// would accept a delayed announcement of that instance. So the process that knows of the departure rewrites
+// it until the write succeeds.
 #pragma once
 
 #include "UpstreamPresence.h"
@@ -31,88 +30,91 @@
 
 namespace Sagecrank {
 
-// An upstream takes a confirmation that comes within a second. What is left goes to its way there and back.
+// An upstream waits one second for a confirmation; the rest of it is for the network round trip.
 inline constexpr Duration departureWriteTimeout = Milliseconds(600);
 
-// Between two reads of a table that does not answer: the first in the time of an announcement, then twice as
-// long each time. Load: a fleet that starts while the table is away. Harm of a read a second by each node:
-// 6,500 a second for a table that gives 2,000 to everything.
+// Retry delay while the table does not answer: first the interval of an announcement, then doubled each time.
+// When a fleet of 6,500 nodes starts while the table is unavailable, a fixed second would make 6,500 reads a
+// second of a table that allows 2,000 in total.
 inline constexpr Duration recordRetryDelay = std::chrono::seconds(1);
 inline constexpr Duration maximumRecordRetryDelay = std::chrono::seconds(16);
 
-// How old a copy may be from which the table comes back: what was written before stands in it.
+// The maximum age of a copy from which the table is restored; older writes are in it.
 inline constexpr Duration maximumBackupAge = std::chrono::minutes(2);
 
 struct UpstreamRecordHooks
 {
-    // Once, when the table has answered.
+    // Called once, when the table has answered.
     std::function<void(const PersistedUpstream &)> loaded;
     std::function<void(const Departure &)> departurePersisted;
-    std::function<void(const Error &)> failed; // A read or a write.
+    std::function<void(const Error &)> failed; // A read or a write failed.
 };
 
-// For one io_context that one thread runs.
+// Used on the single thread that runs the io_context.
 class UpstreamRecord
 {
 public:
     UpstreamRecord(boost::asio::io_context &context, TablePort table, std::string node,
                    UpstreamRecordHooks hooks);
 
-    void load(); // Reads the rows, until the table answers.
+    void load(); // Reads the rows; retries until the table answers.
 
-    // The start that serves now. Nobody waits for its row, and a write that fails is not made again: the row
-    // only saves time.
+    // Writes the row of the serving instance. A failed write is not retried, since the row only speeds up a
+    // restart.
     void recordServing(const UpstreamAnnouncement &announcement);
 
-    // Writes the row of the start that leaves. Saying the same again costs nothing unless the write before it
-    // has failed.
+    // Writes the row of the departing instance. Does nothing if it is already persisted.
     void recordDeparture(const Departure &departure);
 
-    // What ran at a crash of the upstream. Nobody waits for its row; one that could not be written is written
-    // with the next word of the upstream.
+    // Records the requests that ran at a crash of the upstream. A failed write is retried at the upstream's
+    // next announcement.
     void recordCrashes(const std::vector<CrashRecord> &added);
-    // The request was answered since: it is not held against it any more. Written with the next word too.
+    // The request was answered since, so the crash no longer counts against it. Written at the next
+    // announcement.
     void removeCrash(std::uint64_t request, std::uint64_t crash);
 
-    // The table has come back from an older copy: writes again what may be lost and is still needed. A
-    // leaving at once; the start that serves and the crashes with the upstream's next word, which spreads the
-    // writes of a fleet.
+    // The table was restored from an older copy: rewrites what may be lost and is still needed. A departure
+    // is rewritten at once; the serving instance and the crashes at the upstream's next announcement, which
+    // spreads the writes of a fleet.
     void rewriteAfterRestore(Instant now);
 
-    // Answers whether all that was noted about leaving is kept: at once when no write is on its way, after
-    // `departureWriteTimeout` at the latest. What is not kept must not be confirmed; the upstream asks again.
-    void whenPersisted(std::function<void(bool kept)> answer);
+    // Reports whether the recorded departure is persisted: at once if no write is in progress, and after
+    // `departureWriteTimeout` at the latest. A departure that is not persisted must not be confirmed; the
+    // upstream asks again.
+    void whenPersisted(std::function<void(bool persisted)> answer);
 
 private:
-    void takeRecalled(const PersistedUpstream &found, std::uint32_t returnsBefore);
-    void writeLeavingAgain();
-    void writeLater();
-    bool isOutlived(const Departure &departure) const; // A later start serves, so nobody needs it.
-    void write();
+    void applyLoaded(const PersistedUpstream &loaded, std::uint32_t restoresBefore);
+    void rewriteDeparture();
+    void scheduleRewrite();
+    // A later instance serves, so the departure is no longer needed.
+    bool isSuperseded(const Departure &departure) const;
+    void writeDeparture();
     void writeCrashes();
-    void written(const Departure &departure, const Result<void> &result, std::uint32_t returnsBefore);
-    void release();
-    bool isKept() const { return this->noted == this->keptNow; }
+    void departureWritten(const Departure &departure, const Result<void> &result,
+                          std::uint32_t restoresBefore);
+    void answerWaiting();
+    bool isPersisted() const { return this->recordedDeparture == this->persistedDeparture; }
 
     const TablePort table;
     const std::string node;
     const UpstreamRecordHooks hooks;
     boost::asio::steady_timer readTimer;
-    Duration nextPause = recordRetryDelay;
+    Duration nextReadDelay = recordRetryDelay;
     boost::asio::steady_timer waitTimer;
     boost::asio::steady_timer writeTimer;
-    Duration nextWritePause = recordRetryDelay;
+    Duration nextWriteDelay = recordRetryDelay;
     std::optional<UpstreamAnnouncement> serving; // As last written.
     CrashHistory crashes;
-    bool crashesKept = true;                 // The row says no less.
+    bool crashesPersisted = true;            // Whether the row holds all of `crashes`.
     std::optional<Instant> servingWrittenAt; // By this process.
-    bool servingIsLost = false;              // To be written again with the next word.
-    std::optional<Departure> noted;
-    std::optional<Departure> keptNow; // What the row is known to say, as far as this process wrote it.
+    bool servingNeedsRewrite = false;        // Rewritten at the next announcement.
+    std::optional<Departure> recordedDeparture;
+    std::optional<Departure> persistedDeparture; // The known content of the row.
     bool writing = false;
-    bool owed = false;                              // What was kept has to be written again.
-    std::uint32_t returns = 0;                      // Of the table, from older copies.
-    std::vector<std::function<void(bool)>> waiting; // Not empty only while `writing`.
+    bool rewritePending = false;    // A persisted departure may be lost and must be rewritten.
+    std::uint32_t restoreCount = 0; // How often the table was restored from an older copy.
+    std::vector<std::function<void(bool)>> waiting; // Empty unless `writing`.
 };
 
 } // namespace Sagecrank
--- a/Tests/Node/TestUpstreamRecord.cpp
+++ b/Tests/Node/TestUpstreamRecord.cpp
@@ -1,4 +1,4 @@
-// The row about a leaving upstream, and what a node that was started anew makes of it.
+// The persisted rows of an upstream, and how a restarted node uses them.
 #include <Node/Upstream/UpstreamRecord.h>
 
 #include <Support/TableTest.h>
@@ -13,7 +13,8 @@
 
 namespace {
 
-// A table of one process after the other. While it is away, reads fail; while it holds writes, they wait.
+// A table that outlives the processes of a test. It can fail calls, and delay the answers of reads and
+// writes.
 class FakeTable
 {
 public:
@@ -22,8 +23,8 @@
         TablePort port;
         port.query = [this](const QueryRequest &request, const RowsCallback &callback) {
             ++this->reads;
-            if (this->away)
-                return callback(makeError(ErrorKind::Unavailable, "read rows", "table", "away"));
+            if (this->unavailable)
+                return callback(makeError(ErrorKind::Unavailable, "read rows", "table", "unavailable"));
             std::vector<Row> found;
             for (const auto &[key, row] : this->rows) {
                 if (key.partition == request.partition)
@@ -39,8 +40,8 @@
                 return callback(success());
             }
             ++this->writes;
-            if (this->away)
-                return callback(makeError(ErrorKind::Unavailable, "write row", "table", "away"));
+            if (this->unavailable)
+                return callback(makeError(ErrorKind::Unavailable, "write row", "table", "unavailable"));
             this->pending = [this, row = put.row, callback] {
                 this->rows[row.key] = row;
                 callback(success());
@@ -64,7 +65,7 @@
     }
 
     std::map<RowKey, Row> rows;
-    bool away = false;
+    bool unavailable = false;
     bool holdsWrites = false;
     bool holdsReads = false;
     int reads = 0;
@@ -73,7 +74,7 @@
     std::function<void()> pendingRead;
 };
 
-// What a node's process knows of the upstream, from its start on.
+// The upstream state of one process of a node.
 class Process
 {
 public:
@@ -84,8 +85,8 @@
         this->record.load();
     }
 
-    void hear(UpstreamState state, std::uint64_t sequence, std::uint64_t startedAt = 100,
-              const char *instance = "i-1")
+    void announce(UpstreamState state, std::uint64_t sequence, std::uint64_t startedAt = 100,
+                  const char *instance = "i-1")
     {
         this->presence.announced(
             this->now,
@@ -96,7 +97,7 @@
     UpstreamRecordHooks recordHooks()
     {
         return {[this](const PersistedUpstream &upstream) {
-                    this->recalledCrashes = upstream.crashes;
+                    this->loadedCrashes = upstream.crashes;
                     this->presence.persistedStateLoaded(this->now, upstream);
                 },
                 [](const Departure &) {}, [this](const Error &) { ++this->failures; }};
@@ -105,7 +106,7 @@
     boost::asio::io_context context{1};
     Instant now = Instant() + std::chrono::hours(1);
     int failures = 0;
-    std::vector<CrashRecord> recalledCrashes;
+    std::vector<CrashRecord> loadedCrashes;
     UpstreamPresence presence{
         {[](const std::string &) {}, [](const UpstreamAnnouncement &) {},
          [](const std::string &, UpstreamState, std::uint32_t) {},
@@ -114,52 +115,53 @@
     UpstreamRecord record;
 };
 
-const bool awayRows[] = {true, false};
-const bool tableBackRows[] = {true, false};
+const bool failingRows[] = {true, false};
+const bool unavailableRows[] = {true, false};
 
-struct LateRow
+struct DelayedRow
 {
     const char *what;
-    UpstreamState said;
-    std::uint64_t startedAt; // Of the announcement after the restart; the start that left began at 100.
+    UpstreamState announced;
+    std::uint64_t startedAt; // Of the announcement after the restart; the departed instance started at 100.
     const char *instance;
-    UpstreamState believed;
+    UpstreamState expected;
 };
 
-const LateRow lateRows[] = {
-    {"a late word of the start that left", UpstreamState::Ready, 100, "i-1", UpstreamState::None},
-    {"a late word of it while it was cold", UpstreamState::Warming, 100, "i-1", UpstreamState::None},
-    {"it says again that it drains", UpstreamState::Draining, 100, "i-1", UpstreamState::Draining},
-    {"the same name, started anew", UpstreamState::Ready, 200, "i-1", UpstreamState::Ready},
-    {"another start", UpstreamState::Ready, 150, "i-2", UpstreamState::Ready},
+const DelayedRow delayedRows[] = {
+    {"a delayed announcement of the departed instance", UpstreamState::Ready, 100, "i-1",
+     UpstreamState::None},
+    {"a delayed warming announcement of it", UpstreamState::Warming, 100, "i-1", UpstreamState::None},
+    {"it announces again that it drains", UpstreamState::Draining, 100, "i-1", UpstreamState::Draining},
+    {"a new instance with the same name", UpstreamState::Ready, 200, "i-1", UpstreamState::Ready},
+    {"another instance", UpstreamState::Ready, 150, "i-2", UpstreamState::Ready},
 };
 
 struct LossRow
 {
     const char *what;
-    bool isUnderWay; // The write of the leaving, at the return.
-    bool isAway;     // The table refuses at first.
+    bool isWriting;     // The write of the departure, at the restore.
+    bool isUnavailable; // The table fails writes at first.
 };
 
 const LossRow lossRows[] = {
-    {"it had been kept", false, false},
-    {"it was acknowledged around the return", true, false},
-    {"the table refuses for a while", false, true},
+    {"it had been persisted", false, false},
+    {"it was acknowledged around the restore", true, false},
+    {"the table fails writes for a while", false, true},
 };
 
 struct NeedRow
 {
     const char *what;
-    std::vector<std::pair<UpstreamState, std::uint64_t>> heard; // With when the start began.
-    Duration later;                                             // The return.
-    int leavings;                                               // Written again.
+    std::vector<std::pair<UpstreamState, std::uint64_t>> announced; // With the start time of the instance.
+    Duration restoreDelay;                                          // Time until the restore.
+    int departures;                                                 // Rewritten.
     bool serving;
 };
 
 const NeedRow needRows[] = {
-    {"one serves since a moment ago", {{UpstreamState::Ready, 100}}, Duration::zero(), 0, true},
-    {"one serves for long", {{UpstreamState::Ready, 100}}, maximumBackupAge, 0, false},
-    {"one left long ago, none came", {{UpstreamState::Draining, 100}}, maximumBackupAge, 1, false},
+    {"one has served for a short time", {{UpstreamState::Ready, 100}}, Duration::zero(), 0, true},
+    {"one has served for long", {{UpstreamState::Ready, 100}}, maximumBackupAge, 0, false},
+    {"one left long ago, none followed", {{UpstreamState::Draining, 100}}, maximumBackupAge, 1, false},
     {"one left, and another serves",
      {{UpstreamState::Draining, 100}, {UpstreamState::Ready, 200}},
      Duration::zero(),
@@ -170,14 +172,14 @@
 struct ServingRow
 {
     const char *what;
-    std::vector<std::pair<UpstreamState, std::uint64_t>> heard; // With when the start began.
-    UpstreamState believed;
+    std::vector<std::pair<UpstreamState, std::uint64_t>> announced; // With the start time of the instance.
+    UpstreamState expected;
 };
 
 const ServingRow servingRows[] = {
-    {"none was heard", {}, UpstreamState::None},
+    {"no announcement", {}, UpstreamState::None},
     {"one serves", {{UpstreamState::Ready, 100}}, UpstreamState::Ready},
-    {"one was cold", {{UpstreamState::Warming, 100}}, UpstreamState::Ready},
+    {"one was warming", {{UpstreamState::Warming, 100}}, UpstreamState::Ready},
     {"it left", {{UpstreamState::Ready, 100}, {UpstreamState::Draining, 100}}, UpstreamState::None},
     {"it left and another serves",
      {{UpstreamState::Ready, 100}, {UpstreamState::Gone, 100}, {UpstreamState::Ready, 200}},
@@ -186,184 +188,184 @@
 
 } // namespace
 
-// A caller's request reaches an upstream that was promised to get none. The upstream says that it drains, the
-// node confirms and is killed; its next process hears an announcement of before the drain, held up on its
-// way, and takes the upstream for ready, as it knows of nothing before. The row says which start has left.
-TABLE_TEST(upstreamRecord, aConfirmedLeavingOutlivesTheProcess, lateRows)
+// Guards against calls reaching an upstream that was promised none. The node confirms a drain and is killed;
+// its next process gets a delayed announcement from before the drain and would take the upstream for ready.
+// The row names the departed instance.
+TABLE_TEST(upstreamRecord, confirmedDepartureSurvivesRestart, delayedRows)
 {
     FakeTable table;
     {
         Process killed(table);
-        killed.hear(UpstreamState::Ready, 1);
-        killed.hear(UpstreamState::Draining, 3);
+        killed.announce(UpstreamState::Ready, 1);
+        killed.announce(UpstreamState::Draining, 3);
     }
     table.rows.erase({"upstream/node-1", "serving"});
     Process next(table);
-    next.hear(row.said, 2, row.startedAt, row.instance);
-    cr_assert(next.presence.state() == row.believed, "%s", row.what);
+    next.announce(row.announced, 2, row.startedAt, row.instance);
+    cr_assert(next.presence.state() == row.expected, "%s", row.what);
 }
 
-// The goodbye comes first here and the upstream goes on serving for a while; its earlier announcements count
-// for as little as after a drain.
-Test(upstreamRecord, aGoodbyeIsKeptToo)
+// An upstream may announce that it leaves without draining first and serve on for a while. Its earlier
+// announcements must be rejected as after a drain.
+Test(upstreamRecord, leaveWithoutDrainIsPersisted)
 {
     FakeTable table;
     {
         Process killed(table);
-        killed.hear(UpstreamState::Ready, 1);
+        killed.announce(UpstreamState::Ready, 1);
         killed.presence.left(killed.now, "i-1");
     }
     Process next(table);
-    next.hear(UpstreamState::Ready, 2);
+    next.announce(UpstreamState::Ready, 2);
     cr_assert(next.presence.state() == UpstreamState::None);
 }
 
-// The upstream is told that its leaving was heard only when the row stands: a node that is killed in between
-// has promised nothing.
-Test(upstreamRecord, confirmsWhenTheRowStands)
+// A departure is confirmed only once the row is written: a node that is killed before has promised nothing.
+Test(upstreamRecord, confirmsOnlyAfterTheRowIsWritten)
 {
     FakeTable table;
     table.holdsWrites = true;
     Process node(table);
-    node.hear(UpstreamState::Ready, 1);
+    node.announce(UpstreamState::Ready, 1);
     int confirmed = 0;
-    node.record.whenPersisted([&confirmed](bool kept) { confirmed += kept ? 1 : 0; });
+    node.record.whenPersisted([&confirmed](bool persisted) { confirmed += persisted ? 1 : 0; });
     cr_assert(confirmed == 1);
-    node.hear(UpstreamState::Draining, 2);
-    node.record.whenPersisted([&confirmed](bool kept) { confirmed += kept ? 1 : 0; });
+    node.announce(UpstreamState::Draining, 2);
+    node.record.whenPersisted([&confirmed](bool persisted) { confirmed += persisted ? 1 : 0; });
     cr_assert(confirmed == 1 && node.presence.state() == UpstreamState::Draining);
     table.finishWrite();
     cr_assert(confirmed == 2);
-    node.hear(UpstreamState::Draining, 3);
+    node.announce(UpstreamState::Draining, 3);
     cr_assert(table.writes == 1);
 }
 
-// The table gives no answer, or says that it is away. A confirmation that nothing keeps would not bind the
-// next process, so the upstream is told in time that there is none, and asks again; it drains all the same.
-TABLE_TEST(upstreamRecord, confirmsNothingThatIsNotKept, awayRows)
+// The table does not answer, or fails the write. A confirmation that is not persisted would not bind the next
+// process, so it is denied within the time limit and the upstream asks again. The upstream drains in any
+// case.
+TABLE_TEST(upstreamRecord, deniesConfirmationOfUnpersistedDeparture, failingRows)
 {
     FakeTable table;
     table.holdsWrites = true;
     Process node(table);
-    table.away = row;
-    node.hear(UpstreamState::Draining, 2);
+    table.unavailable = row;
+    node.announce(UpstreamState::Draining, 2);
     std::optional<bool> answer;
-    node.record.whenPersisted([&answer](bool kept) { answer = kept; });
+    node.record.whenPersisted([&answer](bool persisted) { answer = persisted; });
     node.context.run_for(departureWriteTimeout + Milliseconds(200));
     cr_assert(answer == std::optional(false));
     cr_assert(node.presence.state() == UpstreamState::Draining);
 }
 
-// The upstream asks again when the table is back.
-Test(upstreamRecord, confirmsLaterWhenTheTableIsBack)
+// The upstream asks again once the table is available.
+Test(upstreamRecord, confirmsOnceTheTableIsAvailable)
 {
     FakeTable table;
     Process node(table);
-    table.away = true;
-    node.hear(UpstreamState::Draining, 2);
-    table.away = false;
-    node.hear(UpstreamState::Draining, 3);
+    table.unavailable = true;
+    node.announce(UpstreamState::Draining, 2);
+    table.unavailable = false;
+    node.announce(UpstreamState::Draining, 3);
     bool confirmed = false;
-    node.record.whenPersisted([&confirmed](bool kept) { confirmed = kept; });
+    node.record.whenPersisted([&confirmed](bool persisted) { confirmed = persisted; });
     cr_assert(confirmed);
 }
 
-// The table is away for long while a whole fleet starts; each node asks it less and less often.
-Test(upstreamRecord, asksATableThatIsAwayLessAndLessOften)
+// The table is unavailable for long while a whole fleet starts. Each node must back off.
+Test(upstreamRecord, backsOffWhileTheTableIsUnavailable)
 {
     FakeTable table;
-    table.away = true;
+    table.unavailable = true;
     Process node(table);
     node.context.run_for(Milliseconds(3500));
     cr_assert(table.reads == 3, "%d reads", table.reads);
 }
 
-// The table is away while a node starts. One word of its upstream may be a late one; the second of the same
-// start is believed, so that a healthy upstream comes back in the time of one announcement. The row is read
-// as soon as the table is back, and goes before that belief.
-Test(upstreamRecord, believesTheSecondWordWhileTheTableIsAway)
+// The table is unavailable while a node starts. A first announcement of the upstream may be a delayed one;
+// the second of the same instance is accepted, so that a healthy upstream is back within one announcement
+// interval. Once the table is available, a departure in the row overrides the announcements.
+Test(upstreamRecord, acceptsTheSecondAnnouncementWhileTheTableIsUnavailable)
 {
     FakeTable table;
     {
         Process killed(table);
-        killed.hear(UpstreamState::Draining, 3);
+        killed.announce(UpstreamState::Draining, 3);
     }
-    table.away = true;
+    table.unavailable = true;
     Process next(table);
-    next.hear(UpstreamState::Ready, 1);
+    next.announce(UpstreamState::Ready, 1);
     cr_assert(next.presence.state() == UpstreamState::None && next.failures == 1);
-    next.hear(UpstreamState::Ready, 2);
+    next.announce(UpstreamState::Ready, 2);
     cr_assert(next.presence.state() == UpstreamState::Ready);
-    table.away = false;
+    table.unavailable = false;
     next.context.run_for(recordRetryDelay + Milliseconds(200));
     cr_assert(table.reads == 3 && next.presence.state() == UpstreamState::Draining);
 }
 
-// A host is restarted; its upstream, which goes on running, speaks once in a second or two. Until then each
-// call to it was refused, and with three upstreams that is a third of the service. The next process goes by
-// the row.
-TABLE_TEST(upstreamRecord, theNextProcessKnowsWhoServes, servingRows)
+// When a node restarts, its upstream, which keeps running, announces itself only every one or two seconds.
+// Until then each call to it was refused, which with three upstreams is a third of the service. The next
+// process must use the row of the serving instance.
+TABLE_TEST(upstreamRecord, nextProcessUsesTheServingRow, servingRows)
 {
     FakeTable table;
     {
         Process killed(table);
-        for (const auto &[state, startedAt] : row.heard)
-            killed.hear(state, startedAt, startedAt);
+        for (const auto &[state, startedAt] : row.announced)
+            killed.announce(state, startedAt, startedAt);
     }
     const Process next(table);
-    cr_assert(next.presence.state() == row.believed, "%s", row.what);
+    cr_assert(next.presence.state() == row.expected, "%s", row.what);
 }
 
-// Callers' requests reach an upstream 2.5 s after its goodbye was confirmed. The node is restarted while the
-// table is away; the first word that it hears of its upstream is the goodbye, of a start that it does not
-// know; then the table is back, and its row says that this start serves.
-TABLE_TEST(upstreamRecord, aGoodbyeBeforeAnythingElseGoesBeforeTheRow, tableBackRows)
+// Guards against calls reaching an upstream 2.5 s after its departure was confirmed. The node restarts while
+// the table is unavailable, and the first message from its upstream says that an instance leaves that the
+// node does not know. When the table is available again, its row says that this instance serves.
+TABLE_TEST(upstreamRecord, departureOfUnknownInstanceOverridesTheRow, unavailableRows)
 {
     FakeTable table;
     {
         Process killed(table);
-        killed.hear(UpstreamState::Ready, 1);
+        killed.announce(UpstreamState::Ready, 1);
     }
-    table.away = row;
+    table.unavailable = row;
     Process next(table);
     if (row)
         next.presence.left(next.now, "i-1");
     else
         next.presence.left(next.now, "i-2");
     cr_assert(next.presence.isLeaving() == row);
-    table.away = false;
+    table.unavailable = false;
     next.context.run_for(recordRetryDelay + Milliseconds(200));
-    next.hear(UpstreamState::Ready, 2);
+    next.announce(UpstreamState::Ready, 2);
     cr_assert(next.presence.state() == (row ? UpstreamState::None : UpstreamState::Ready));
     if (!row)
         return;
-    // The next process of the node knows it too, and a start of that name is believed in the end.
+    // The next process of the node knows it too, and a new instance with that name is accepted in the end.
     next.presence.left(next.now, "i-1");
     Process third(table);
-    third.hear(UpstreamState::Ready, 3);
+    third.announce(UpstreamState::Ready, 3);
     cr_assert(third.presence.state() == UpstreamState::None);
     third.now += departedNameTimeout;
-    third.hear(UpstreamState::Ready, 1, 200);
+    third.announce(UpstreamState::Ready, 1, 200);
     cr_assert(third.presence.state() == UpstreamState::Ready);
 }
 
-// It was replaced while the node was down, and says so: that word goes before the row.
-Test(upstreamRecord, aLaterStartGoesBeforeTheRow)
+// The upstream was replaced while the node was down: a later instance overrides the row.
+Test(upstreamRecord, laterInstanceOverridesTheRow)
 {
     FakeTable table;
     {
         Process killed(table);
-        killed.hear(UpstreamState::Ready, 1);
+        killed.announce(UpstreamState::Ready, 1);
     }
     Process next(table);
-    next.hear(UpstreamState::Draining, 1, 200, "i-2");
+    next.announce(UpstreamState::Draining, 1, 200, "i-2");
     cr_assert(next.presence.state() == UpstreamState::Draining);
-    next.hear(UpstreamState::Ready, 9);
+    next.announce(UpstreamState::Ready, 9);
     cr_assert(next.presence.state() == UpstreamState::Draining);
 }
 
-// A row that someone else has written over names no start; it holds nobody back.
-Test(upstreamRecord, aSpoiltRowNamesNobody)
+// A malformed row must be ignored and hold no announcement back.
+Test(upstreamRecord, malformedRowIsIgnored)
 {
     FakeTable table;
     for (const char *name : {"leaving", "serving"}) {
@@ -371,12 +373,12 @@
         table.rows[key] = {key, {{"instance", std::uint64_t(7)}}};
     }
     Process next(table);
-    next.hear(UpstreamState::Ready, 1);
+    next.announce(UpstreamState::Ready, 1);
     cr_assert(next.presence.state() == UpstreamState::Ready);
 }
 
-// All nodes lose power while a request is kept from the upstreams that it crashes.
-Test(upstreamRecord, crashesOutliveTheProcess)
+// All nodes lose power while a request that crashes upstreams is quarantined.
+Test(upstreamRecord, crashesSurviveRestart)
 {
     FakeTable table;
     const std::vector<CrashRecord> crashes = {{7, 1, unixMilliseconds() + 600'000}, {8, 1, 1}};
@@ -384,24 +386,24 @@
         Process process(table);
         process.record.recordCrashes(crashes);
     }
-    cr_assert(Process(table).recalledCrashes == std::vector<CrashRecord>{crashes[0]},
-              "what has expired is not kept");
+    cr_assert(Process(table).loadedCrashes == std::vector<CrashRecord>{crashes[0]},
+              "expired crashes are dropped");
 }
 
-// The table is away when the upstream crashes; the row is written with the upstream's next word.
-Test(upstreamRecord, crashesAreWrittenWhenTheTableIsBack)
+// The table is unavailable when the upstream crashes. The row is written at the upstream's next announcement.
+Test(upstreamRecord, crashesAreWrittenOnceTheTableIsAvailable)
 {
     FakeTable table;
     Process process(table);
-    table.away = true;
+    table.unavailable = true;
     process.record.recordCrashes({{7, 1, unixMilliseconds() + 600'000}});
-    table.away = false;
+    table.unavailable = false;
     process.record.recordServing({"booking", "10.0.0.1:80", 6, UpstreamCondition::Ready, "i-2", 5, 1});
-    cr_assert(Process(table).recalledCrashes.size() == 1);
+    cr_assert(Process(table).loadedCrashes.size() == 1);
 }
 
-// The table comes back from a copy of before the crash.
-Test(upstreamRecord, crashesThatTheTableLostAreWrittenAgain)
+// The table is restored from a copy from before the crash.
+Test(upstreamRecord, lostCrashesAreRewritten)
 {
     FakeTable table;
     Process process(table);
@@ -409,11 +411,11 @@
     table.rows.clear();
     process.record.rewriteAfterRestore(SteadyClock::now());
     process.record.recordServing({"booking", "10.0.0.1:80", 6, UpstreamCondition::Ready, "i-2", 5, 1});
-    cr_assert(Process(table).recalledCrashes.size() == 1);
+    cr_assert(Process(table).loadedCrashes.size() == 1);
 }
 
-// All nodes lose power after an answer has cleared a request that ran at crashes by chance.
-Test(upstreamRecord, whatWasClearedIsNotKept)
+// All nodes lose power after an answer has cleared a request that ran at a crash by coincidence.
+Test(upstreamRecord, clearedCrashesAreNotPersisted)
 {
     FakeTable table;
     const std::uint64_t end = unixMilliseconds() + 600'000;
@@ -422,16 +424,16 @@
     process.record.removeCrash(7, 1);
     process.record.removeCrash(8, 2);
     process.record.recordServing({"booking", "10.0.0.1:80", 6, UpstreamCondition::Ready, "i-2", 5, 1});
-    cr_assert(Process(table).recalledCrashes == std::vector<CrashRecord>({{8, 1, end}}));
+    cr_assert(Process(table).loadedCrashes == std::vector<CrashRecord>({{8, 1, end}}));
 }
 
-struct KeptTextRow
+struct SerializedRow
 {
     const char *text;
     std::size_t crashes;
 };
 
-const KeptTextRow keptTextRows[] = {
+const SerializedRow serializedRows[] = {
     {"", 0},
     {"7:1:ff;", 1},
     {"7:1:ff;8:1:ff;", 2},
@@ -443,51 +445,51 @@
     {"7:1:10000000000000000;", 0},
 };
 
-// A row may come from another writer.
-TABLE_TEST(crashHistory, spoiltEntriesAreLeftOut, keptTextRows)
+// Malformed entries of a row are skipped.
+TABLE_TEST(crashHistory, malformedEntriesAreSkipped, serializedRows)
 {
     const CrashHistory history = CrashHistory::parse(row.text);
     cr_assert(history.crashes().size() == row.crashes, "%s", row.text);
     cr_assert(CrashHistory::parse(history.serialize()).crashes() == history.crashes());
 }
 
-// The table comes back from a copy of before a confirmed leaving, and the node is killed some time later. Its
-// next process hears a late word of the start that left, and would take it for its upstream's.
-TABLE_TEST(upstreamRecord, aLeavingThatTheTableLostIsWrittenAgain, lossRows)
+// The table is restored from a copy from before a confirmed departure, and the node is killed some time
+// later. Its next process must not accept a delayed announcement of the departed instance.
+TABLE_TEST(upstreamRecord, lostDepartureIsRewritten, lossRows)
 {
     FakeTable table;
     {
         Process killed(table);
-        killed.hear(UpstreamState::Ready, 1);
-        table.holdsWrites = row.isUnderWay;
-        killed.hear(UpstreamState::Draining, 3);
+        killed.announce(UpstreamState::Ready, 1);
+        table.holdsWrites = row.isWriting;
+        killed.announce(UpstreamState::Draining, 3);
         const std::map<RowKey, Row> copy = {};
-        table.away = row.isAway;
-        if (!row.isUnderWay)
+        table.unavailable = row.isUnavailable;
+        if (!row.isWriting)
             table.rows = copy;
         killed.record.rewriteAfterRestore(SteadyClock::now());
-        table.finishWrite(); // Acknowledged by the table of before.
-        table.rows = row.isUnderWay ? copy : table.rows;
+        table.finishWrite(); // Acknowledged by the table from before the restore.
+        table.rows = row.isWriting ? copy : table.rows;
         table.finishWrite();
-        table.away = false;
-        killed.context.run_for(row.isAway ? recordRetryDelay + Milliseconds(300) : Milliseconds(0));
+        table.unavailable = false;
+        killed.context.run_for(row.isUnavailable ? recordRetryDelay + Milliseconds(300) : Milliseconds(0));
         bool confirmed = false;
-        killed.record.whenPersisted([&confirmed](bool kept) { confirmed = kept; });
+        killed.record.whenPersisted([&confirmed](bool persisted) { confirmed = persisted; });
         cr_assert(confirmed, "%s", row.what);
     }
     Process next(table);
-    next.hear(UpstreamState::Ready, 2);
-    next.hear(UpstreamState::Ready, 2);
+    next.announce(UpstreamState::Ready, 2);
+    next.announce(UpstreamState::Ready, 2);
     cr_assert(next.presence.state() == UpstreamState::None, "%s", row.what);
 }
 
-// The same, when the process that confirmed it has ended before the return, and the next one has read of it.
-Test(upstreamRecord, aLeavingThatWasRecalledIsWrittenAgain)
+// The same, when the process that confirmed it ended before the restore and the next one has read the row.
+Test(upstreamRecord, loadedDepartureIsRewritten)
 {
     FakeTable table;
     {
         Process killed(table);
-        killed.hear(UpstreamState::Draining, 3);
+        killed.announce(UpstreamState::Draining, 3);
     }
     {
         Process next(table);
@@ -495,17 +497,17 @@
         next.record.rewriteAfterRestore(SteadyClock::now());
     }
     Process third(table);
-    third.hear(UpstreamState::Ready, 2);
+    third.announce(UpstreamState::Ready, 2);
     cr_assert(third.presence.state() == UpstreamState::None);
 }
 
-// A return that falls between the read of the rows and its answer: they were read from the table of before.
-Test(upstreamRecord, aLeavingReadDuringTheReturnIsWrittenAgain)
+// A restore between the read of the rows and its answer: the rows are from the table before the restore.
+Test(upstreamRecord, departureReadDuringTheRestoreIsRewritten)
 {
     FakeTable table;
     {
         Process killed(table);
-        killed.hear(UpstreamState::Draining, 3);
+        killed.announce(UpstreamState::Draining, 3);
     }
     table.holdsReads = true;
     Process next(table);
@@ -517,20 +519,21 @@
     cr_assert(table.rows.contains({"upstream/node-1", "leaving"}));
 }
 
-// A drill at a fleet whose upstreams have all been replaced once. What nobody needs any more, or what is in
-// each copy, is not written again: each node would write at once.
-TABLE_TEST(upstreamRecord, onlyWhatMayBeLostAndIsNeededIsWrittenAgain, needRows)
+// The table of a fleet is restored after all upstreams have been replaced once. Rows that are no longer
+// needed, or that every copy contains, must not be rewritten, since each node would write at the same time.
+TABLE_TEST(upstreamRecord, onlyNeededRowsAreRewritten, needRows)
 {
     FakeTable table;
     Process node(table);
-    for (const auto &[state, startedAt] : row.heard)
-        node.hear(state, startedAt, startedAt);
+    for (const auto &[state, startedAt] : row.announced)
+        node.announce(state, startedAt, startedAt);
     table.rows.clear();
     table.writes = 0;
-    node.record.rewriteAfterRestore(SteadyClock::now() + row.later);
-    cr_assert(table.writes == row.leavings, "%s: %d", row.what, table.writes);
-    cr_assert(!table.rows.contains({"upstream/node-1", "serving"}), "%s: not before its next word", row.what);
-    for (const auto &[state, startedAt] : row.heard)
-        node.hear(state, startedAt + 1, startedAt);
+    node.record.rewriteAfterRestore(SteadyClock::now() + row.restoreDelay);
+    cr_assert(table.writes == row.departures, "%s: %d", row.what, table.writes);
+    cr_assert(!table.rows.contains({"upstream/node-1", "serving"}), "%s: not before its next announcement",
+              row.what);
+    for (const auto &[state, startedAt] : row.announced)
+        node.announce(state, startedAt + 1, startedAt);
     cr_assert(table.rows.contains({"upstream/node-1", "serving"}) == row.serving, "%s", row.what);
 }
