--- a/Services/Node/Admin/AdminFrontend.cpp
+++ b/Services/Node/Admin/AdminFrontend.cpp
@@ -1,4 +1,4 @@
-// Routes of the admin port.
+// Routes requests on the admin port and parses announcements.
 #include "AdminFrontend.h"
 
 #include <LibNet/FramedConnection.h>
@@ -21,7 +21,7 @@
     UpstreamState state = UpstreamState::None;
 };
 
-Error badAnnouncement(const std::string &message)
+Error invalidAnnouncement(const std::string &message)
 {
     return makeError(ErrorKind::InvalidInput, "read announcement", "upstream", message);
 }
@@ -30,7 +30,7 @@
 {
     const json::value *value = object.if_contains(key);
     if (value == nullptr || !value->is_string() || value->as_string().empty())
-        return badAnnouncement(std::string(key) + " must be a string that is not empty");
+        return invalidAnnouncement(std::string(key) + " must be a string that is not empty");
     return std::string(value->as_string());
 }
 
@@ -39,22 +39,22 @@
     boost::system::error_code error;
     const json::value parsed = json::parse(body, error);
     if (error || !parsed.is_object())
-        return badAnnouncement("the body is not a JSON object");
+        return invalidAnnouncement("the body is not a JSON object");
     const json::object &object = parsed.as_object();
 
     ParsedAnnouncement result;
     result.announcement.cluster = TRY(textField(object, "cluster"));
     result.announcement.address = TRY(textField(object, "address"));
     if (!parseTcpEndpoint(result.announcement.address))
-        return badAnnouncement("address must be an ip:port");
+        return invalidAnnouncement("address must be an ip:port");
     const std::string stateName = TRY(textField(object, "state"));
     const auto state = upstreamStateNames.value(stateName);
     if (!state || *state == UpstreamState::None)
-        return badAnnouncement("state must be warming, ready, draining or gone");
+        return invalidAnnouncement("state must be warming, ready, draining or gone");
     result.state = *state;
     const json::value *slots = object.if_contains("slots");
     if (slots == nullptr || !slots->is_int64() || slots->as_int64() < 1 || slots->as_int64() > maximumSlots)
-        return badAnnouncement("slots must be a whole number from 1 to 100000");
+        return invalidAnnouncement("slots must be a whole number from 1 to 100000");
     result.announcement.slots = static_cast<std::uint32_t>(slots->as_int64());
     return result;
 }
@@ -70,9 +70,9 @@
 {
     const std::string path = request.target.substr(0, request.target.find('?'));
     if (request.method == "POST" && path == "/v1/upstream")
-        return this->takeAnnouncement(request);
+        return this->handleAnnouncement(request);
     if (request.method == "POST" && path == "/v1/drain")
-        return this->takeDrain();
+        return this->handleDrain();
     if (request.method != "GET")
         return makeResponse(404, textType, "no such command\n");
     if (path == "/health")
@@ -89,7 +89,7 @@
     return makeResponse(404, textType, "no such page\n");
 }
 
-HttpResponse AdminFrontend::takeAnnouncement(const HttpRequest &request) const
+HttpResponse AdminFrontend::handleAnnouncement(const HttpRequest &request) const
 {
     const Result<ParsedAnnouncement> parsed = parseAnnouncement(request.body);
     if (!parsed)
@@ -98,7 +98,7 @@
     return makeResponse(200, jsonType, json::serialize(json::object{{"in_flight", this->hooks.inFlight()}}));
 }
 
-HttpResponse AdminFrontend::takeDrain() const
+HttpResponse AdminFrontend::handleDrain() const
 {
     this->hooks.drain();
     return makeResponse(202, jsonType, json::serialize(json::object{{"in_flight", this->hooks.inFlight()}}));
--- a/Services/Node/Admin/AdminFrontend.h
+++ b/Services/Node/Admin/AdminFrontend.h
@@ -1,4 +1,4 @@
-// The node's own HTTP for the upstream beside it, for operators and for metrics.
+// The admin HTTP interface of the node: announcements of the upstream, operator commands, status and metrics.
 #pragma once
 
 #include <Node/Upstream/UpstreamPresence.h>
@@ -34,8 +34,8 @@
     HttpResponse answer(const HttpRequest &request) const;
 
 private:
-    HttpResponse takeAnnouncement(const HttpRequest &request) const;
-    HttpResponse takeDrain() const;
+    HttpResponse handleAnnouncement(const HttpRequest &request) const;
+    HttpResponse handleDrain() const;
 
     const AdminHooks hooks;
 };
--- a/Services/Node/Admin/NodeStatus.cpp
+++ b/Services/Node/Admin/NodeStatus.cpp
@@ -1,4 +1,4 @@
-// Writes a node's status as JSON and as metrics.
+// Formats the status of a node as JSON and as metrics.
 #include "NodeStatus.h"
 
 #include <boost/json.hpp>
@@ -85,21 +85,23 @@
 {
     const ControlStatus &control = status.control;
     const MetricRow rows[] = {
-        {"configuration_version", "gauge", "Version that this node holds.", control.heldVersion},
-        {"configuration_head_version", "gauge", "Highest accepted version that this node has heard of.",
+        {"configuration_version", "gauge", "Configuration version that this node holds.",
+         control.heldVersion},
+        {"configuration_head_version", "gauge", "Highest accepted configuration version known to this node.",
          control.headVersion},
         {"configuration_source_age_seconds", "gauge",
-         "Since the source of configurations last answered this node.", wholeSeconds(control.sourceAge)},
-        {"configuration_source_failures_total", "counter",
-         "Reads of the source of configurations that were not answered.", control.headReadFailures},
-        {"configuration_refused_total", "counter", "Versions that did not check.", control.refusedVersions},
-        {"configuration_pull_failures_total", "counter", "Pulls that brought nothing.", control.pullFailures},
-        {"configuration_pulled_bytes_total", "counter", "Bytes of configuration taken in.",
+         "Seconds since the configuration source last answered this node.", wholeSeconds(control.sourceAge)},
+        {"configuration_source_failures_total", "counter", "Failed reads of the configuration source.",
+         control.headReadFailures},
+        {"configuration_refused_total", "counter", "Configuration versions rejected as invalid.",
+         control.refusedVersions},
+        {"configuration_pull_failures_total", "counter", "Failed configuration pulls.", control.pullFailures},
+        {"configuration_pulled_bytes_total", "counter", "Bytes of configuration received.",
          control.pulledBytes},
-        {"configuration_served_bytes_total", "counter", "Bytes of configuration given to peers.",
+        {"configuration_served_bytes_total", "counter", "Bytes of configuration sent to peers.",
          control.pullBytesServed},
-        {"members_alive", "gauge", "Nodes seen alive, this one included.", control.membersByState[0]},
-        {"members_suspect", "gauge", "Nodes that do not answer probes.", control.membersByState[1]},
+        {"members_alive", "gauge", "Nodes known to be alive, including this one.", control.membersByState[0]},
+        {"members_suspect", "gauge", "Nodes suspected to have failed.", control.membersByState[1]},
         {"gossip_sent_bytes_total", "counter", "Bytes of gossip sent.", control.gossip.sentBytes()},
         {"gossip_received_bytes_total", "counter", "Bytes of gossip received.",
          control.gossip.receivedBytes()},
@@ -108,9 +110,9 @@
         {"platform_table_writes_total", "counter", "Items written to the platform's table.",
          status.platform.tableWrites},
         {"platform_object_reads_total", "counter", "Reads of the object store.", status.platform.objectReads},
-        {"gate_running", "gauge", "Calls that the upstream runs.", status.running},
-        {"gate_queued", "gauge", "Calls that wait for a slot.", status.queued},
-        {"calls_forwarded", "gauge", "Callers' calls that are not answered yet.", status.callsForwarded},
+        {"gate_running", "gauge", "Calls that the upstream is running.", status.running},
+        {"gate_queued", "gauge", "Calls waiting for a slot.", status.queued},
+        {"calls_forwarded", "gauge", "Calls from callers that are not answered yet.", status.callsForwarded},
     };
     std::string text;
     for (const MetricRow &row : rows)
--- a/Services/Node/Admin/NodeStatus.h
+++ b/Services/Node/Admin/NodeStatus.h
@@ -1,4 +1,4 @@
-// What a node says of itself to operators and to metrics.
+// The status of a node, as reported to operators and in metrics.
 #pragma once
 
 #include <Node/Control/ControlPlane.h>
--- a/Services/Node/Admin/SettingsReload.cpp
+++ b/Services/Node/Admin/SettingsReload.cpp
@@ -1,4 +1,4 @@
-// Takes over what may change while the node runs.
+// Applies the settings that may change while the node runs.
 #include "SettingsReload.h"
 
 #include <algorithm>
@@ -7,10 +7,10 @@
 
 namespace {
 
-// Kept of the time before the process is killed: a sixth, and at least the last answers and the process's
-// end.
-constexpr int partsOfTime = 6;
-constexpr Duration shortestEnd = finalResponseTime + Milliseconds(100);
+// Time reserved between the maximum drain time and the kill of the process: a sixth of the time until the
+// kill, but at least enough for the final responses and for the process to exit.
+constexpr int shutdownDivisor = 6;
+constexpr Duration minimumShutdownTime = finalResponseTime + Milliseconds(100);
 
 } // namespace
 
@@ -19,7 +19,8 @@
     NodeDrainSettings drain{settings.drain.linger, settings.drain.maximum};
     const Duration killAfter = settings.drain.killAfter;
     if (killAfter > Duration::zero())
-        drain.maximum = std::min(drain.maximum, killAfter - std::max(killAfter / partsOfTime, shortestEnd));
+        drain.maximum =
+            std::min(drain.maximum, killAfter - std::max(killAfter / shutdownDivisor, minimumShutdownTime));
     return drain;
 }
 
--- a/Services/Node/Admin/SettingsReload.h
+++ b/Services/Node/Admin/SettingsReload.h
@@ -1,6 +1,6 @@
-// Reads the settings again when the process is told that they changed. The log level and the times of a drain
-// hold from then on; addresses, names and what open connections were made with cannot change under them and
-// hold from the next start. A file that does not check changes nothing.
+// Reloads the settings file on request. The log level and the drain times apply at once. All other settings,
+// such as addresses, names and connection limits, are in use and apply from the next start. An invalid file
+// changes nothing.
 #pragma once
 
 #include <Node/NodeDrain.h>
@@ -27,7 +27,7 @@
     void reload();
 
 private:
-    NodeSettings running; // As they hold now.
+    NodeSettings running; // The settings in effect, including those applied by a reload.
     const SettingsReloadHooks hooks;
     EventLog &log;
 };
--- a/Tests/Node/TestAdminFrontend.cpp
+++ b/Tests/Node/TestAdminFrontend.cpp
@@ -1,4 +1,4 @@
-// The admin port: announcements that check and those that do not, commands and queries.
+// The admin port: valid and invalid announcements, commands and queries.
 #include <Node/Admin/AdminFrontend.h>
 
 #include <Support/TableTest.h>
@@ -36,13 +36,13 @@
                                    [] { return std::string("[]"); }}};
 };
 
-struct BadRow
+struct InvalidRow
 {
     const char *body;
     const char *problem;
 };
 
-const BadRow badRows[] = {
+const InvalidRow invalidRows[] = {
     {"", "not a JSON object"},
     {"[1]", "not a JSON object"},
     {R"({"address":"127.0.0.1:1","slots":1,"state":"ready"})", "cluster must be a string"},
@@ -70,7 +70,7 @@
 
 } // namespace
 
-Test(adminFrontend, takesAnAnnouncement)
+Test(adminFrontend, acceptsAnnouncement)
 {
     AdminFixture fixture;
     const HttpResponse answer =
@@ -84,9 +84,9 @@
     cr_assert(fixture.states[0] == UpstreamState::Warming);
 }
 
-// An upstream announces something wrong. It is told what, and nothing of it is taken: a half-read
-// announcement would put a service into the mesh that nobody can reach.
-TABLE_TEST(adminFrontend, refusesABadAnnouncementWhole, badRows)
+// An invalid announcement is rejected as a whole, with the reason: applying it in part would add a service to
+// the mesh that cannot be reached.
+TABLE_TEST(adminFrontend, rejectsInvalidAnnouncement, invalidRows)
 {
     AdminFixture fixture;
     const HttpResponse answer = fixture.ask("POST", "/v1/upstream", row.body);
@@ -102,7 +102,7 @@
     cr_assert(fixture.drains == 0);
 }
 
-Test(adminFrontend, drainIsACommand)
+Test(adminFrontend, postDrainStartsDrain)
 {
     AdminFixture fixture;
     cr_assert(fixture.ask("POST", "/v1/drain").status == 202);
--- a/Tests/Node/TestSettingsReload.cpp
+++ b/Tests/Node/TestSettingsReload.cpp
@@ -1,4 +1,4 @@
-// What a signal that the settings changed does to a running node.
+// Reloading the settings of a running node.
 #include <Node/Admin/SettingsReload.h>
 
 #include <Support/TableTest.h>
@@ -22,7 +22,7 @@
     EventLog log{"node", {}, [this](LogLevel, const std::string &line) { this->lines.push_back(line); }};
     SettingsReload reload{NodeSettings{}, this->hooks(), this->log};
 
-    bool said(const std::string &text) const { return this->lines.back().find(text) != std::string::npos; }
+    bool logged(const std::string &text) const { return this->lines.back().find(text) != std::string::npos; }
 
 private:
     SettingsReloadHooks hooks()
@@ -41,9 +41,8 @@
 
 } // namespace
 
-// At night somebody wants to see more of one node, and gives it more time to drain. It goes on serving
-// meanwhile.
-Test(settingsReload, takesOverWhatCanChange)
+// An operator raises the log level of a running node and extends its drain time without a restart.
+Test(settingsReload, appliesReloadableSettings)
 {
     ReloadFixture fixture;
     fixture.file.logLevel = "debug";
@@ -51,23 +50,23 @@
     fixture.reload.reload();
     cr_assert(fixture.level == LogLevel::Debug);
     cr_assert(fixture.drain && fixture.drain->linger == Milliseconds(700));
-    cr_assert(fixture.said("applied=\"log drain\"") && fixture.said("rest_at_next_start=false"));
+    cr_assert(fixture.logged("applied=\"log drain\"") && fixture.logged("rest_at_next_start=false"));
     fixture.level.reset();
     fixture.reload.reload();
-    cr_assert(!fixture.level, "what holds already is not set again");
+    cr_assert(!fixture.level, "unchanged settings are not applied again");
 }
 
-// Somebody changes an address too, and believes that it holds. The log says that it does not yet.
-Test(settingsReload, saysWhatHoldsFromTheNextStart)
+// An address changes only at the next start; the log must say so.
+Test(settingsReload, reportsSettingsThatNeedARestart)
 {
     ReloadFixture fixture;
     fixture.file.listen.callers = "127.0.0.1:9";
     fixture.reload.reload();
     cr_assert(!fixture.level && !fixture.drain);
-    cr_assert(fixture.said("1008") && fixture.said("rest_at_next_start=true"));
+    cr_assert(fixture.logged("1008") && fixture.logged("rest_at_next_start=true"));
 }
 
-Test(settingsReload, aFileThatDoesNotCheckChangesNothing)
+Test(settingsReload, invalidFileChangesNothing)
 {
     ReloadFixture fixture;
     fixture.file.logLevel = "debug";
@@ -75,7 +74,7 @@
         makeError(ErrorKind::InvalidInput, "read settings", "node.toml", "node.toml:3: node.id: missing");
     fixture.reload.reload();
     cr_assert(!fixture.level && !fixture.drain);
-    cr_assert(fixture.said("1009") && fixture.said("node.toml:3"));
+    cr_assert(fixture.logged("1009") && fixture.logged("node.toml:3"));
 }
 
 namespace {
@@ -98,9 +97,9 @@
 
 } // namespace
 
-// A fixed maximum ends what runs long before the platform would, or is still at work when it kills the
-// process.
-TABLE_TEST(settingsReload, aDrainEndsBeforeTheProcessIsKilled, drainRows)
+// A drain must end shortly before the platform kills the process. A fixed maximum would either cut off
+// running calls too early, or still be draining at the kill.
+TABLE_TEST(settingsReload, drainEndsBeforeTheProcessIsKilled, drainRows)
 {
     NodeSettings settings;
     settings.drain.maximum = row.maximum;
