--- a/Services/Node/CallHeaders.h
+++ b/Services/Node/CallHeaders.h
@@ -1,6 +1,6 @@
-// The names of the HTTP headers by which callers, this node and upstreams speak of a call. The defaults are
-// this project's own interface; a deployment whose callers and upstreams use other names gives those. An
-// empty name is neither read nor written.
+// The names of the HTTP headers that callers, the node and upstreams use for call metadata. The defaults are
+// this project's own interface; a platform adapter may replace them. A header with an empty name is neither
+// read nor written.
 #pragma once
 
 #include <string>
@@ -9,26 +9,26 @@
 
 struct CallHeaders
 {
-    // Requests of callers, and what is passed on to upstreams.
-    std::string callId = "Sagecrank-Call-Id";       // The caller's own id, passed on unchanged.
-    std::string deadline = "Sagecrank-Deadline-Ms"; // How long the caller waits, in whole milliseconds.
-    std::string attempt = "Sagecrank-Attempt";      // This node's id of one sending; not the caller's.
+    // Requests from callers and to upstreams.
+    std::string callId = "Sagecrank-Call-Id";       // Chosen by the caller and forwarded unchanged.
+    std::string deadline = "Sagecrank-Deadline-Ms"; // Time that the caller waits, in whole milliseconds.
+    std::string attempt = "Sagecrank-Attempt";      // Id of one attempt, chosen by this node.
     std::string idempotencyKey = "Idempotency-Key";
     std::string trace = "traceparent";
-    std::string expectedInstance; // Another start of the upstream than this one must refuse the call.
-    std::string originService;    // The service that runs on the host where the call began.
+    std::string expectedInstance; // An upstream must refuse a call that names another instance of it.
+    std::string originService;    // The service on the host where the call originated.
 
-    // Answers of upstreams.
-    std::string notRun = "Sagecrank-Outcome"; // With the value below, the call did not run there.
-    std::string notRunValue = "not-run";      // Empty: any value.
-    std::string proof;                        // Without it a success is not the upstream's own answer.
+    // Responses of upstreams.
+    std::string notRun = "Sagecrank-Outcome"; // With the value below: the upstream did not run the call.
+    std::string notRunValue = "not-run";      // Empty: any value of the header.
+    std::string proof; // A success without this header did not come from the upstream itself.
 
-    // Answers to callers.
+    // Responses to callers.
     std::string outcome = "Sagecrank-Outcome";
     std::string reason = "Sagecrank-Reason";
     std::string retryAfterMilliseconds = "Sagecrank-Retry-After-Ms";
     std::string replayed = "Sagecrank-Replayed";
-    bool retryAfterHasFractions = false; // Else Retry-After is in whole seconds, as HTTP has it.
+    bool retryAfterHasFractions = false; // If false, Retry-After is in whole seconds, as in HTTP.
 };
 
 } // namespace Sagecrank
--- a/Services/Node/CallReasons.h
+++ b/Services/Node/CallReasons.h
@@ -1,27 +1,27 @@
-// Why a call was not run or its outcome is not known, beside the reasons that LibDecide and LibSource give.
-// They stand in answers between nodes and in callers' headers, and placing tells some of them apart, so each
-// is spelt once.
+// Reasons why a call did not run or its outcome is unknown, in addition to those of LibDecide and LibSource.
+// They are sent to other nodes and to callers, and the placer distinguishes some of them, so each string is
+// defined once.
 #pragma once
 
 #include <string_view>
 
 namespace Sagecrank {
 
-// Of the node that a caller reached.
+// From the node that the caller is connected to.
 inline constexpr std::string_view reasonNoUpstream = "no_upstream_present";
 inline constexpr std::string_view reasonCallerDeadline = "deadline_passed";
 inline constexpr std::string_view reasonLeaving = "node_leaving";
 
-// Of either node.
+// From either node.
 inline constexpr std::string_view reasonQuarantined = "crashes_upstreams";
 
-// Of the connection to another node.
+// From the connection to another node.
 inline constexpr std::string_view reasonPeerUnreachable = "peer_unreachable";
 inline constexpr std::string_view reasonPeerLost = "peer_connection_lost";
 inline constexpr std::string_view reasonPeerCongested = "peer_congested";
 inline constexpr std::string_view reasonPeerLeaving = "peer_leaving";
 
-// Of the gate.
+// From the gate.
 inline constexpr std::string_view reasonKeyInProgress = "key_in_progress";
 inline constexpr std::string_view reasonKeyUnknown = "key_outcome_unknown";
 inline constexpr std::string_view reasonShed = "upstream_shed";
--- a/Services/Node/Main.cpp
+++ b/Services/Node/Main.cpp
@@ -1,4 +1,4 @@
-// sagecrank-node: the one small process beside each upstream host.
+// sagecrank-node: the proxy process beside each upstream.
 #include "Node.h"
 
 #include <LibCommandLine/CommandLine.h>
@@ -18,11 +18,11 @@
 
 constexpr const char *usage = R"(Usage: sagecrank-node --settings FILE [--check]
 
-Takes callers' requests, places and forwards them, gates the upstream beside it, and keeps routes and members
-current. Ends by itself after SIGTERM once it has drained; a second SIGTERM ends it at once. SIGHUP reads the
-settings again.
+Accepts callers' requests, forwards them to upstreams, controls admission to the upstream beside it, and keeps
+routes and membership up to date. SIGTERM drains the node and then ends it; a second SIGTERM ends it at once.
+SIGHUP reloads the settings.
 
-Exit codes: 0 ended as asked, 2 wrong usage, 3 settings do not check, 4 cannot start (a port is taken).
+Exit codes: 0 ended normally, 2 wrong usage, 3 invalid settings, 4 cannot start (a port is in use).
 )";
 
 int runNode(const Sagecrank::NodeSettings &settings, const std::string &file)
@@ -38,10 +38,9 @@
         return exitCannotStart;
     }
     node.run();
-    // Failure: an end that waits on the log library's threads and on every open connection. Symptom: the
-    // process is killed at the end of its grace time, and its host starts the next one that much later.
-    // Nothing is left to be saved here: what lasts lives in the platform, and every line was written when it
-    // arose.
+    // Exits without running destructors: waiting for the threads of the log library and for every open
+    // connection could last until the process is killed, which delays its restart. Nothing is lost, since all
+    // persistent state is in the platform and every log line has been written.
     std::fflush(nullptr);
     std::_Exit(Sagecrank::exitSuccess);
 }
@@ -54,7 +53,7 @@
     line.usage = usage;
     auto add = line.options.add_options();
     add("settings,s", options::value<std::string>()->required(), "settings file (TOML)");
-    add("check", "only check the settings");
+    add("check", "validate the settings and exit");
     options::variables_map values;
     if (const auto exitCode = Sagecrank::readCommandLine(line, argumentCount, arguments, values))
         return *exitCode;
@@ -68,7 +67,7 @@
         return exitBadSettings;
     }
     if (values.count("check") > 0) {
-        std::cout << "settings check\n";
+        std::cout << "the settings are valid\n";
         return Sagecrank::exitSuccess;
     }
     return runNode(settings.value(), file);
--- a/Services/Node/Node.cpp
+++ b/Services/Node/Node.cpp
@@ -1,4 +1,4 @@
-// Joins the parts of a node.
+// Creates the components of a node and connects them.
 #include "Node.h"
 
 #include "NodeParts.h"
@@ -15,17 +15,18 @@
 
 namespace {
 
-// How often presence and drain look at the clock.
+// How often the upstream presence and the drain check their timeouts.
 constexpr Duration tickInterval = Milliseconds(100);
 
-// Longer than any backoff or ejection, short against the 1,100 hosts that are replaced in a day.
+// Longer than any backoff or ejection, and short enough to bound what 1,100 replaced hosts a day leave
+// behind.
 constexpr Duration forgetInterval = std::chrono::minutes(10);
 
-// At about 200 bytes each, half a megabyte of the node's 32.
+// About 200 bytes each: 0.5 MB of the node's 32 MB.
 constexpr std::size_t spanCapacity = 2048;
-constexpr std::size_t spansShown = 500;
+constexpr std::size_t maximumSpansShown = 500;
 
-// What the base file may allow is what a frame between nodes carries.
+// The largest body that a configuration may allow must fit into a frame between nodes.
 static_assert(mostBodyBytes == maximumBodySize);
 
 std::function<std::uint64_t()> makeRandom()
@@ -40,25 +41,25 @@
     return server;
 }
 
-// Valid when there is no reason against it.
+// The version is valid if `reason` is empty.
 NodeOffered offeredEvent(const SiteManifest &manifest, std::string reason)
 {
     return {manifest.version, toHex(siteDigest(manifest)), reason.empty(), std::move(reason)};
 }
 
-// Failure: nodes that restart together each believe to be alone and take the whole allowance of retries.
-// Symptom: together they exceed it. A node counts on at least so many others, and everybody leaves two fifths
-// unused, for what differs between their views.
-double retryPart(double shared, const std::vector<Member> &members)
+// The retry budget of this node: an equal part of the shared one. Nodes that restart together see no other
+// node at first and would each use the whole budget, so a minimum number of nodes is assumed. Two fifths stay
+// unused, to allow for differences between the views of the nodes.
+double retryBudgetShare(double shared, const std::vector<Member> &members)
 {
-    constexpr std::size_t fewestNodes = 8;
-    constexpr double usedPart = 0.6;
+    constexpr std::size_t minimumNodes = 8;
+    constexpr double usedShare = 0.6;
     const auto present = static_cast<std::size_t>(std::count_if(
         members.begin(), members.end(), [](const Member &member) { return isPresent(member.state); }));
-    return usedPart * shared / static_cast<double>(std::max(fewestNodes, present));
+    return usedShare * shared / static_cast<double>(std::max(minimumNodes, present));
 }
 
-// Each call draws its part of a split route by itself, so the parts get their shares without nodes agreeing.
+// Draws the cluster of a split route at random for each call, so the nodes need not coordinate the shares.
 std::string chooseCluster(const RouteEntry &entry)
 {
     const std::vector<WeightedCluster> &split = entry.route->split;
@@ -82,7 +83,7 @@
 Node::Node(NodeSettings settings, const NodeAdapterFactory &makeAdapter, ReadSettings readSettings)
     : settings(std::move(settings))
     , history(this->settings.id, this->settings.history)
-    // A history takes standard output for itself.
+    // The history uses standard output for itself.
     , log(this->settings.id, logSettings(this->settings),
           this->settings.history ? standardErrorLogSink() : standardOutputLogSink())
     , nodeLog(this->log, this->settings.id)
@@ -107,8 +108,8 @@
                  this->history,     this->observer, this->refusedCallers, this->quarantine.requestHooks()}
     , callers(this->forwarding, this->settings.requests.maximumTimeout, this->adapter.headers,
               this->settings.platform.upstreamService, this->callerHooks())
-    , commands(this->adminHooks())
-    , admin(this->commands)
+    , adminCommands(this->adminHooks())
+    , admin(this->adminCommands)
     , adminServer(this->control, adminServerSettings(), this->adminHandler())
     , announcementServer(this->control, adminServerSettings(), this->adapterHandler())
     , probeServer(this->control, adminServerSettings(), this->adapterHandler())
@@ -146,7 +147,7 @@
         TRY_VOID(this->probeServer.listen(this->settings.listen.probe));
     for (const auto &worker : this->workers)
         TRY_VOID(worker->listen());
-    this->followStoreEra();
+    this->watchStoreEra();
     TRY_VOID(this->plane.start());
     for (const auto &worker : this->workers)
         worker->start();
@@ -167,8 +168,8 @@
                     {{"in_flight", this->gate.inFlight()}, {"calls_forwarded", this->callsForwarded.load()}});
 }
 
-// Every answer of the store feeds it, and these run on the control thread as the answers do.
-void Node::followStoreEra()
+// Each response of the store updates the era, so these callbacks run on the control thread.
+void Node::watchStoreEra()
 {
     if (!this->adapter.era)
         return;
@@ -177,7 +178,7 @@
     this->adapter.era->addChangeListener([this](const EraChange &rise) {
         this->plane.noteStoreEra(rise.current);
         if (!rise.previous)
-            return; // Nothing was written before it.
+            return; // The first era that is seen; nothing was written before.
         this->nodeLog.storeRestored(rise);
         this->record.rewriteAfterRestore(SteadyClock::now());
         this->plane.storeRestored();
@@ -187,8 +188,8 @@
 HolderHooks Node::holderHooks()
 {
     HolderHooks hooks;
-    // The version has been found good, and nothing of it is in force yet: a history must say both in this
-    // order.
+    // Called when the version has been validated but is not in effect yet. The history must record both
+    // events in this order.
     hooks.swapping = [this](const Snapshot &next, std::uint64_t previous) {
         this->history.record([&] { return offeredEvent(next.configuration().manifest, {}); });
         this->history.record([&] {
@@ -231,7 +232,9 @@
         if (this->adapter.era)
             this->adapter.era->observePeerEra(era);
     };
-    hooks.sourceRecovered = [this](const SourceRecovery &found) { this->nodeLog.sourceRecovered(found); };
+    hooks.sourceRecovered = [this](const SourceRecovery &recovery) {
+        this->nodeLog.sourceRecovered(recovery);
+    };
     hooks.noticesChanged = [this](const std::vector<Notice> &notices) {
         this->quarantine.update(SteadyClock::now(), notices);
         for (const Notice &notice : notices) {
@@ -265,15 +268,15 @@
 {
     const SiteManifest manifest = configuration.manifest;
     const std::vector<Error> doubts = configuration.doubts;
-    const Result<void> taken = this->configuration.offer(std::move(configuration));
-    if (!taken) {
-        this->nodeLog.configurationRefused(manifest.version, taken.error());
-        this->history.record([&] { return offeredEvent(manifest, taken.error().describe()); });
-        return taken;
+    const Result<void> result = this->configuration.offer(std::move(configuration));
+    if (!result) {
+        this->nodeLog.configurationRefused(manifest.version, result.error());
+        this->history.record([&] { return offeredEvent(manifest, result.error().describe()); });
+        return result;
     }
     for (const Error &doubt : doubts)
         this->nodeLog.configurationDoubtful(manifest.version, doubt);
-    return taken;
+    return result;
 }
 
 void Node::recordMember(const Member &member)
@@ -288,7 +291,8 @@
 {
     this->view.replace(this->viewBuilder.build(members));
     if (this->settings.requests.sharedRetryReserve > 0)
-        this->viewBuilder.setRetryReserve(retryPart(this->settings.requests.sharedRetryReserve, members));
+        this->viewBuilder.setRetryReserve(
+            retryBudgetShare(this->settings.requests.sharedRetryReserve, members));
 }
 
 CallerFrontendHooks Node::callerHooks()
@@ -311,15 +315,15 @@
     const auto snapshot = this->configuration.read();
     if (!snapshot)
         return limits;
-    const CallerLimits &stated = snapshot->configuration().manifest.limits;
-    if (stated.headerBytes != 0)
-        limits.headerBytes = std::min(stated.headerBytes, mostHeaderBytes);
-    if (stated.bodyBytes != 0)
-        limits.bodyBytes = std::min<std::uint64_t>(stated.bodyBytes, maximumBodySize);
-    if (stated.headerTimeout.count() != 0)
-        limits.headerTimeout = stated.headerTimeout;
-    if (stated.idleTimeout.count() != 0)
-        limits.idleTimeout = stated.idleTimeout;
+    const CallerLimits &configured = snapshot->configuration().manifest.limits;
+    if (configured.headerBytes != 0)
+        limits.headerBytes = std::min(configured.headerBytes, mostHeaderBytes);
+    if (configured.bodyBytes != 0)
+        limits.bodyBytes = std::min<std::uint64_t>(configured.bodyBytes, maximumBodySize);
+    if (configured.headerTimeout.count() != 0)
+        limits.headerTimeout = configured.headerTimeout;
+    if (configured.idleTimeout.count() != 0)
+        limits.idleTimeout = configured.idleTimeout;
     return limits;
 }
 
@@ -349,15 +353,17 @@
     return this->plane.ready() && this->drain.stage() == DrainStage::Serving;
 }
 
-// What the upstream said is believed at once. That it leaves is confirmed only when it is kept, since the
-// confirmation binds the next process of this node too.
+// An announcement takes effect at once. The response that confirms a departure is sent only when the
+// departure is persisted, since the confirmation binds the next process of this node too.
 void Node::confirm(const HttpRequest &request, HttpResponse response,
                    const std::shared_ptr<HttpExchange> &exchange)
 {
     if (request.method == "GET" || !this->presence.isLeaving())
         return exchange->respond(std::move(response));
-    this->record.whenPersisted([exchange, response = std::move(response)](bool kept) mutable {
-        exchange->respond(kept ? std::move(response) : makeResponse(503, "text/plain", "not kept yet\n"));
+    this->record.whenPersisted([exchange, response = std::move(response)](bool persisted) mutable {
+        exchange->respond(persisted
+                              ? std::move(response)
+                              : makeResponse(503, "text/plain", "the departure is not persisted yet\n"));
     });
 }
 
@@ -371,7 +377,7 @@
 HttpHandler Node::adapterHandler()
 {
     return [this](const HttpRequest &request, const std::shared_ptr<HttpExchange> &exchange) {
-        this->confirm(request, this->adapter.answer(request, this->commands), exchange);
+        this->confirm(request, this->adapter.answer(request, this->adminCommands), exchange);
     };
 }
 
@@ -394,7 +400,7 @@
 {
     UpstreamRecordHooks hooks;
     hooks.loaded = [this](PersistedUpstream upstream) {
-        // A host that was replaced has its name from the one before it, but another upstream.
+        // A host that replaces another one has the same node id but a different upstream.
         if (upstream.serving && upstream.serving->address != this->settings.platform.upstream)
             upstream.serving.reset();
         this->nodeLog.upstreamRecalled(upstream);
@@ -424,11 +430,11 @@
     hooks.ready = [this] { return this->ready(); };
     hooks.status = [this] { return statusJson(this->status()); };
     hooks.metrics = [this] { return controlMetrics(this->status()) + this->metrics.prometheusText(); };
-    hooks.spans = [this] { return this->spans.json(this->settings.id, spansShown); };
+    hooks.spans = [this] { return this->spans.json(this->settings.id, maximumSpansShown); };
     return hooks;
 }
 
-// The queue's length is a setting of the service, and which service this is says the upstream.
+// The queue limit is configured for each service, and the announcement of the upstream names its service.
 void Node::limitQueue()
 {
     const auto snapshot = this->configuration.read();
@@ -437,13 +443,13 @@
         this->gate.setMaximumQueue(section->maximumQueue);
 }
 
-// Failure: hosts come and go all day, and what was learnt of each is kept. Symptom: memory that grows for
-// weeks. What nothing has used for a while is of no worth to the next decision.
+// Hosts are replaced all day. Drops the state about hosts that has not been used for a while, so that memory
+// does not grow for weeks.
 void Node::forgetUnused(Instant now)
 {
-    if (now - this->forgotAt < forgetInterval)
+    if (now - this->forgotUnusedAt < forgetInterval)
         return;
-    this->forgotAt = now;
+    this->forgotUnusedAt = now;
     this->viewBuilder.forgetUnused(now - forgetInterval);
     for (const auto &worker : this->workers)
         worker->forgetUnused(now - forgetInterval);
@@ -481,8 +487,8 @@
     this->presence.advance(now);
     this->drain.advance(now);
     this->forgetUnused(now);
-    // Failure: each step of a drain comes up to an interval late. Symptom: the last answers come when the
-    // process is being killed.
+    // Wakes up in time for the next step of a drain: if each step came up to an interval late, the final
+    // responses would be sent when the process is being killed.
     const Instant next = now + tickInterval;
     this->ticker.expires_at(std::min(next, this->drain.nextStep().value_or(next)));
     this->ticker.async_wait([this](const boost::system::error_code &error) {
--- a/Services/Node/Node.h
+++ b/Services/Node/Node.h
@@ -1,4 +1,4 @@
-// The whole node: builds its parts, joins them by hooks, and takes them through start, drain and end.
+// The node: creates its components, connects them through hooks, and runs startup, drain and shutdown.
 #pragma once
 
 #include "NodeAdapter.h"
@@ -28,7 +28,7 @@
 class Node
 {
 public:
-    using ReadSettings = std::function<Result<NodeSettings>()>; // When they have changed.
+    using ReadSettings = std::function<Result<NodeSettings>()>; // Called on a reload.
 
     Node(NodeSettings settings, const NodeAdapterFactory &makeAdapter, ReadSettings readSettings);
     ~Node();
@@ -38,7 +38,7 @@
     // Opens the ports and starts the threads.
     Result<void> start();
 
-    // Runs the control thread's work until the node has drained or was told twice to end.
+    // Runs the control thread until the node has drained or got a second termination signal.
     void run();
 
 private:
@@ -49,7 +49,7 @@
     AdminHooks adminHooks();
     NodeDrainHooks drainHooks();
     SettingsReloadHooks reloadHooks(ReadSettings readSettings);
-    bool isIdle() const; // Nothing is waiting, running or unanswered.
+    bool isIdle() const; // No call is waiting, running or unanswered.
     std::function<void()> afterAllWorkers(std::function<void()> done) const;
     void refuseCallers();
     void endCalls();
@@ -59,7 +59,7 @@
     HttpHandler adapterHandler();
     UpstreamPresenceHooks presenceHooks();
     UpstreamRecordHooks recordHooks();
-    void followStoreEra();
+    void watchStoreEra();
     std::optional<RouteMatch> route(std::string_view host, std::string_view method,
                                     std::string_view path) const;
     HttpLimits callerLimits() const;
@@ -81,7 +81,7 @@
     SpanRing spans;
     RequestObserver observer;
     CallIds ids;
-    boost::asio::io_context control{1}; // Everything that is not a request, on the main thread.
+    boost::asio::io_context control{1}; // Runs everything but requests, on the main thread.
     ConfigurationHolder configuration;
     RcuPointer<UpstreamView> view;
     UpstreamViewBuilder viewBuilder; // Only used on the control thread.
@@ -95,21 +95,21 @@
     RefusedCallers refusedCallers;
     ForwardingContext forwarding;
     CallerFrontend callers;
-    const AdminHooks commands;
+    const AdminHooks adminCommands;
     AdminFrontend admin;
     HttpServer adminServer;
     HttpServer announcementServer;
     HttpServer probeServer;
     ControlPlane plane;
     bool leaveAnnounced = false; // On the control thread.
-    bool callersRefused = false; // By all workers, at the end of a drain.
+    bool callersRefused = false; // Every worker refuses new requests; set at the end of a drain.
     NodeDrain drain;
     SettingsReload settingsReload;
     std::vector<std::unique_ptr<Worker>> workers;
-    Instant forgotAt; // When forgetUnused last ran.
+    Instant forgotUnusedAt; // When forgetUnused last ran.
     boost::asio::steady_timer ticker;
     boost::asio::signal_set signals;
-    std::atomic<std::uint32_t> callsForwarded = 0; // From callers, not answered yet.
+    std::atomic<std::uint32_t> callsForwarded = 0; // Calls from callers that are not answered yet.
 };
 
 } // namespace Sagecrank
--- a/Services/Node/NodeAdapter.h
+++ b/Services/Node/NodeAdapter.h
@@ -1,5 +1,5 @@
-// What joins a node to the platform that it runs on: where versions and rows are kept, which headers callers
-// and upstreams use, and the platform's own calls to the node. The rest of the node knows none of it.
+// Adapts a node to the platform that it runs on: the storage of versions and rows, the names of call headers,
+// and the platform's own HTTP requests to the node. The rest of the node is independent of the platform.
 #pragma once
 
 #include "CallHeaders.h"
@@ -23,15 +23,15 @@
     TablePort table;
     VersionSource versions;
     std::function<PlatformCounters()> counters;
-    std::shared_ptr<StoreEra> era; // Null where the platform never comes back from an older copy.
-    // Answers on the ports for announcements and for the probe. Not set: those ports are not opened.
+    std::shared_ptr<StoreEra> era; // Null if the store of the platform is never restored from an older copy.
+    // Handles requests on the announcement and probe ports. Needed only if these ports are configured.
     std::function<HttpResponse(const HttpRequest &, const AdminHooks &)> answer;
 };
 
-// The ports answer on the given context, which outlives the adapter.
+// The table and the version source answer on the given context, which outlives the adapter.
 using NodeAdapterFactory = std::function<NodeAdapter(boost::asio::io_context &, const NodeSettings &)>;
 
-// For a transactional table beside an object store.
+// For a transactional table and an object store.
 NodeAdapter makeTableAdapter(boost::asio::io_context &context, const NodeSettings &settings);
 
 } // namespace Sagecrank
--- a/Services/Node/NodeDrain.cpp
+++ b/Services/Node/NodeDrain.cpp
@@ -1,4 +1,4 @@
-// Steps through a drain.
+// Advances through the stages of a drain.
 #include "NodeDrain.h"
 
 namespace Sagecrank {
@@ -16,30 +16,30 @@
 
 void NodeDrain::begin(Instant now)
 {
-    if (this->current != DrainStage::Serving)
+    if (this->currentStage != DrainStage::Serving)
         return;
     this->begunAt = now;
-    this->current = DrainStage::Deflecting;
+    this->currentStage = DrainStage::Deflecting;
     this->hooks.deflectCallers();
     this->advance(now);
 }
 
-// Failure: a node that leaves while others still send to it. Symptom: connections that break under calls,
-// whose outcome nobody knows. Lingering first lets the senders turn elsewhere; ending only when idle cuts
-// nothing. The maximum keeps one call that never ends from holding a host for ever; a call that only waits
-// then is refused, so that its caller goes elsewhere at once instead of losing its connection without a word.
+// If a node left while others still send to it, connections would break during calls, whose outcome is then
+// unknown. The linger time lets the senders choose other nodes, and leaving only when idle cuts no call. The
+// maximum keeps a call that never ends from blocking the shutdown forever; calls that still wait at that
+// point are refused, so that their callers retry elsewhere instead of losing the connection.
 void NodeDrain::advance(Instant now)
 {
-    if (this->current == DrainStage::Deflecting
+    if (this->currentStage == DrainStage::Deflecting
         && now - this->begunAt >= this->settings.linger - leaveAnnounceTime) {
-        this->current = DrainStage::Announcing;
+        this->currentStage = DrainStage::Announcing;
         this->hooks.announceLeave();
     }
-    if (this->current == DrainStage::Announcing && now - this->begunAt >= this->settings.linger) {
-        this->current = DrainStage::Finishing;
+    if (this->currentStage == DrainStage::Announcing && now - this->begunAt >= this->settings.linger) {
+        this->currentStage = DrainStage::Finishing;
         this->hooks.stopCallers();
     }
-    if (this->current != DrainStage::Finishing)
+    if (this->currentStage != DrainStage::Finishing)
         return;
     if (!this->withdrawnAt && now - this->begunAt >= this->settings.maximum) {
         this->withdrawnAt = now;
@@ -48,13 +48,13 @@
     const bool done = this->isDone();
     if (!done && (!this->withdrawnAt || now - *this->withdrawnAt < finalResponseTime))
         return;
-    this->current = DrainStage::Left;
+    this->currentStage = DrainStage::Left;
     this->hooks.leave();
 }
 
 std::optional<Instant> NodeDrain::nextStep() const
 {
-    switch (this->current) {
+    switch (this->currentStage) {
     case DrainStage::Serving:
     case DrainStage::Left:
         return std::nullopt;
@@ -69,9 +69,9 @@
                              : this->begunAt + this->settings.maximum;
 }
 
-// Failure: a request is read whole between the last look at what is open and the end. Symptom: it is sent to
-// an upstream, and its caller gets 504 while that is at work. So nothing is begun any more before the last
-// look.
+// A request could be read completely between the last idle check and the shutdown. It would be sent to an
+// upstream, and its caller would get 504 while the upstream runs it. So new requests are refused before the
+// last idle check.
 bool NodeDrain::isDone()
 {
     const bool refused = !this->hooks.refuseCallers || (this->refusing && this->hooks.callersRefused());
--- a/Services/Node/NodeDrain.h
+++ b/Services/Node/NodeDrain.h
@@ -1,10 +1,11 @@
-// The order in which a node leaves: turn callers away softly, say goodbye to the other nodes, wait until they
-// have heard, stop taking callers, let what runs finish. Runs without sockets or clocks.
+// The drain state machine of a node: ask callers to use another node, announce to the other nodes that this
+// one leaves, wait until the news has spread, stop accepting callers, and let running calls finish. Uses no
+// sockets and no clock.
 //
-// Load: hosts are restarted one after the other, one each 2.5 s, and three upstreams serve a service. Harm of
-// telling the other nodes at once: each upstream stands idle while its callers look for another node, so that
-// two of the three are out at a time. Callers need the whole linger, since they ask for readiness once a
-// second; the last of 200 nodes hears in 0.7 s.
+// The other nodes are told late in the linger time. When hosts are restarted one after the other, one every
+// 2.5 s, and three upstreams serve a service, telling them at once would leave each upstream idle while its
+// callers move to another node, so that two of the three are out at a time. Callers need the whole linger
+// time, since they check readiness once a second; the news reaches the last of 200 nodes in 0.7 s.
 #pragma once
 
 #include <LibCore/EnumNames.h>
@@ -18,9 +19,9 @@
 
 enum class DrainStage : std::uint8_t {
     Serving,
-    Deflecting, // Callers are asked to go elsewhere; calls of other nodes are served as ever.
-    Announcing, // Other nodes are being told; what still arrives of them is refused as not run.
-    Finishing,  // No new callers; what is under way ends.
+    Deflecting, // Callers are asked to use another node; calls from other nodes are still served.
+    Announcing, // Other nodes are being told; calls that still arrive from them are refused as not run.
+    Finishing,  // No new callers are accepted; calls in progress finish.
     Left,
 };
 
@@ -32,32 +33,33 @@
     {DrainStage::Left, "left"},
 }};
 
-// Kept of the linger for the news to reach every node: half more than it took among 200.
+// Part of the linger time reserved for the announcement to reach every node: 1.5 times what it takes among
+// 200 nodes.
 inline constexpr Duration leaveAnnounceTime = std::chrono::seconds(1);
 
-// What is withdrawn at the maximum is answered within this, and what still runs has as long.
+// After the maximum drain time: for the responses to cancelled calls, and for running calls to finish.
 inline constexpr Duration finalResponseTime = std::chrono::milliseconds(900);
 
 struct NodeDrainSettings
 {
-    Duration linger;  // For callers to go elsewhere.
-    Duration maximum; // From the first word to the last answers, whatever still runs.
+    Duration linger;  // Time for callers to move to another node.
+    Duration maximum; // Time from the start of the drain until calls that still wait are cancelled.
 };
 
 struct NodeDrainHooks
 {
     std::function<void()> deflectCallers;
-    // Load: hosts are restarted one after the other. Harm of saying goodbye only when nothing runs any more:
-    // the upstream stands idle for its 0.9 s as well, 2.5 s of each restart in place of 1.6 s.
+    // Called before the node is idle. If it announced the leave only then, the upstream would stand idle for
+    // the 0.9 s that this takes as well: 2.5 s of each restart instead of 1.6 s.
     std::function<void()> announceLeave;
     std::function<bool()> leaveAnnounced;
     std::function<void()> stopCallers;
-    std::function<bool()> idle;            // Nothing is waiting, running or unanswered.
-    std::function<void()> withdrawWaiting; // What has not begun yet is refused.
-    std::function<void()> leave;           // What still runs is answered as unknown.
-    // A request that is still read, on any thread, is refused from now on. May be empty, as may the next.
+    std::function<bool()> idle;            // No call is waiting, running or unanswered.
+    std::function<void()> withdrawWaiting; // Refuses calls that have not started yet.
+    std::function<void()> leave;           // Answers calls that still run with an unknown outcome.
+    // From now on, refuses requests that are still being read on any thread. Optional, like the next hook.
     std::function<void()> refuseCallers = {};
-    std::function<bool()> callersRefused = {}; // All threads do.
+    std::function<bool()> callersRefused = {}; // Whether all threads refuse them.
 };
 
 class NodeDrain
@@ -68,19 +70,19 @@
     void configure(const NodeDrainSettings &settings);
     void begin(Instant now); // Later calls do nothing.
     void advance(Instant now);
-    std::optional<Instant> nextStep() const; // When advance() has something to do, whatever else happens.
+    std::optional<Instant> nextStep() const; // When advance() must be called next at the latest.
 
-    DrainStage stage() const { return this->current; }
+    DrainStage stage() const { return this->currentStage; }
 
 private:
     bool isDone();
 
     NodeDrainSettings settings;
     const NodeDrainHooks hooks;
-    DrainStage current = DrainStage::Serving; // Only ever rises.
+    DrainStage currentStage = DrainStage::Serving; // Only moves forward.
     Instant begunAt;
-    std::optional<Instant> withdrawnAt; // Set at the maximum.
-    bool refusing = false;              // Callers; only ever rises.
+    std::optional<Instant> withdrawnAt; // Set when the maximum drain time has passed.
+    bool refusing = false;              // refuseCallers() was called; never reset.
 };
 
 } // namespace Sagecrank
--- a/Services/Node/NodeEnd.cpp
+++ b/Services/Node/NodeEnd.cpp
@@ -1,4 +1,4 @@
-// How a node ends: what each step of its drain does, and the signals that begin it.
+// The shutdown of a node: the actions of each drain stage, and the signals that start a drain.
 #include "Node.h"
 
 #include <boost/asio/post.hpp>
@@ -15,7 +15,7 @@
            && std::ranges::all_of(this->workers, &Worker::allResponsesSent);
 }
 
-// Each worker is to call it once, on its own thread.
+// Each worker calls the returned function once, on its own thread.
 std::function<void()> Node::afterAllWorkers(std::function<void()> done) const
 {
     return [done = std::move(done), left = std::make_shared<std::atomic<std::size_t>>(this->workers.size())] {
@@ -36,8 +36,8 @@
         worker->rejectNewCalls(refused);
 }
 
-// The process ends once each thread has given what is under way its final answer. At the maximum of a drain
-// the process may be killed soon after it.
+// The process ends once each worker has answered its calls in progress. When the maximum drain time has
+// passed, the process may be killed soon, so the workers then give the other nodes no extra time.
 void Node::endCalls()
 {
     const Duration peersTime = this->isIdle() ? finalResponseTime : Duration::zero();
@@ -84,7 +84,7 @@
             this->settingsReload.reload();
             return this->watchSignals();
         }
-        // The second signal does not wait for anything.
+        // A second signal ends the process at once.
         if (this->drain.stage() != DrainStage::Serving)
             return this->control.stop();
         this->drain.begin(SteadyClock::now());
--- a/Services/Node/NodeLog.cpp
+++ b/Services/Node/NodeLog.cpp
@@ -1,4 +1,4 @@
-// Writes a node's log events.
+// Writes the log events of a node.
 #include "NodeLog.h"
 
 #include <array>
@@ -51,7 +51,8 @@
     this->log.write(EventId::ConfigurationSwapped, {{"version", version}, {"previous", previous}});
 }
 
-// Crossing updates bring old versions all the time; only one that does not check is worth a look.
+// Old versions are refused all the time, since updates overtake each other; only an invalid one needs
+// attention.
 void NodeLog::configurationRefused(std::uint64_t version, const Error &error)
 {
     const bool stale = error.kind == ErrorKind::Refused;
@@ -67,7 +68,7 @@
         {{"version", version}, {"step", doubt.step}, {"route", doubt.peer}, {"message", doubt.message}});
 }
 
-// A version that cannot be read will not be read tomorrow either, whoever sends it.
+// A version that cannot be decoded is invalid whoever sends it; other errors are transient.
 void NodeLog::controlFailed(const Error &error)
 {
     const bool unreadable = error.kind == ErrorKind::InvalidInput;
@@ -86,11 +87,11 @@
                      {"retry_in_ms", wholeMilliseconds(failure.retryIn)}});
 }
 
-void NodeLog::sourceRecovered(const SourceRecovery &found)
+void NodeLog::sourceRecovered(const SourceRecovery &recovery)
 {
-    this->log.write(EventId::SourceRegained, {{"away_ms", wholeMilliseconds(found.outage)},
-                                              {"failures", found.failures},
-                                              {"version", found.version}});
+    this->log.write(EventId::SourceRegained, {{"away_ms", wholeMilliseconds(recovery.outage)},
+                                              {"failures", recovery.failures},
+                                              {"version", recovery.version}});
 }
 
 void NodeLog::storeRestored(const EraChange &rise)
@@ -108,13 +109,13 @@
 {
     if (member.id == this->ownId)
         return;
-    const auto [entry, added] = this->seen.try_emplace(member.id, member.state);
+    const auto [entry, added] = this->loggedStates.try_emplace(member.id, member.state);
     if (!added && entry->second == member.state)
         return;
     entry->second = member.state;
     this->log.write(eventOf(member.state), {{"member", member.id}, {"incarnation", member.incarnation}});
     if (member.state == MemberState::Left || member.state == MemberState::Dead)
-        this->seen.erase(entry);
+        this->loggedStates.erase(entry);
 }
 
 void NodeLog::introducerUnknown(const std::string &gossipAddress)
--- a/Services/Node/NodeLog.h
+++ b/Services/Node/NodeLog.h
@@ -1,4 +1,4 @@
-// Which log event each change of a node is.
+// Maps state changes of a node to log events.
 #pragma once
 
 #include <Node/Control/ControlFollower.h>
@@ -27,7 +27,7 @@
     void configurationDoubtful(std::uint64_t version, const Error &doubt);
     void controlFailed(const Error &error);
     void sourceFailed(const SourceFailure &failure);
-    void sourceRecovered(const SourceRecovery &found);
+    void sourceRecovered(const SourceRecovery &recovery);
     void storeRestored(const EraChange &rise);
     void storeEraDoubted(const Error &error);
     void memberChanged(const Member &member);
@@ -44,7 +44,7 @@
 private:
     EventLog &log;
     const std::string ownId;
-    std::unordered_map<std::string, MemberState> seen; // To log a member's state only when it changes.
+    std::unordered_map<std::string, MemberState> loggedStates; // By member id.
 };
 
 } // namespace Sagecrank
--- a/Services/Node/NodeParts.cpp
+++ b/Services/Node/NodeParts.cpp
@@ -1,4 +1,4 @@
-// Derives the settings of a node's parts.
+// Derives the settings of a node's components.
 #include "NodeParts.h"
 
 #include <LibDecide/Gate.h>
@@ -10,28 +10,29 @@
 
 namespace {
 
-// Calls that may wait until the service's own settings are known, some milliseconds after its upstream is.
-constexpr std::uint32_t startQueue = 64;
+// Queue limit until the settings of the service are known, some milliseconds after its upstream is.
+constexpr std::uint32_t initialQueueLimit = 64;
 
-// Load: 13 to 15 upstreams of a service in a zone, some three times as fast as others, half of their slots in
-// use. Harm of comparing two: calls that meet two slow ones, though fast ones stand idle; of 35,000 calls
-// 2,079 were late instead of 1,779 with four (played with both).
+// With 13 to 15 upstreams of a service in a zone, some three times as fast as others, and half of the slots
+// in use, comparing only two often selects from two slow ones while fast ones are idle: 2,079 of 35,000 calls
+// were late, compared with 1,779 when four are compared.
 constexpr std::size_t choicesInZone = 4;
 
-// A store of rows holds its answer back until there is news, so asking often costs nothing; and nodes have no
-// seeds there, so the rows are read at once.
+// A store of rows supports long polling, so polling it often costs little. Nodes have no seeds there, so the
+// introducers' rows are read at once.
 //
-// Load: 25 changes within 5 s at a fleet of 78 nodes. Harm: a watch by each node makes 2,000 calls of it.
-// Three watchers a zone see each change within the pause below, the others hear of it by gossip; three, so
-// that the zone still watches while one is restarted and another is cut off from the store.
-void followRowsStore(ControlSettings &control)
+// If every node of a fleet of 78 watched the store, 25 changes within 5 s would cause 2,000 calls. So three
+// nodes in each zone watch it and see each change within `pauseBetweenWatches`; the others learn of it by
+// gossip. With three, a zone still has a watcher while one is restarted and another is cut off from the
+// store.
+void configureForRowsStore(ControlSettings &control)
 {
     constexpr std::uint32_t watchersPerZone = 3;
     constexpr Duration pauseBetweenWatches = Milliseconds(200); // A tenth of the time a change may take.
-    constexpr Duration longestHold = Milliseconds(2000);        // A third of that for the first after news.
-    // A store that is slow takes 250 to 300 ms for an answer.
+    constexpr Duration longestHold = Milliseconds(2000); // A third of it for the first watch after a change.
+    // A slow store takes 250 to 300 ms to answer.
     constexpr Duration storeAnswerTime = Milliseconds(500);
-    // The watchers of 25 zones make 150 reads a second of it while the store is away.
+    // Limits the watchers of 25 zones to 150 reads a second while the store is unavailable.
     constexpr Duration pauseBetweenRetries = Milliseconds(500);
     control.follower.poll.fastPollersPerZone = watchersPerZone;
     control.follower.poll.fastInterval = pauseBetweenWatches;
@@ -44,20 +45,21 @@
     control.follower.pull.platformPullers = watchersPerZone;
     control.follower.pull.pollerDelayPerRank = Duration::zero();
     control.follower.pull.platformFirst = true;
-    // After other zones: the watch brings content too, so reading the store for what it has not told of helps
-    // only those who do not watch.
+    // Longer than the time after which other zones are asked. A watch returns the content too, so a separate
+    // read of the store only helps nodes that do not watch it.
     control.follower.pull.peersOnlyDuration = Milliseconds(600);
-    // The watchers of a zone have a change within a tenth of a second. When none has it after this, the store
-    // turns the zone away, and a change from another zone is some hundred bytes.
+    // The watchers of a zone get a change within 100 ms. If none has it after this, the store rejects the
+    // zone's reads, and a delta from another zone is only some hundred bytes.
     control.follower.pull.otherZonesDelay = Milliseconds(500);
-    // A node that no peer has helped for half of the time that a change may take reads the row itself, one
-    // after the other in each zone: 50 calls a second of a zone at most.
+    // A node that got no version from a peer within half of the time that a change may take reads the row
+    // itself. The nodes of a zone take turns, so a zone makes at most 50 calls a second.
     control.follower.pull.platformDelay = Milliseconds(1000);
     control.follower.pull.platformDelayPerRank = Milliseconds(20);
     control.introducers.initialDelay = Milliseconds(10);
-    // Load: all hosts lose power, and their nodes start within a fifth of a second. Harm of a pause of 300
-    // ms: the zones hear of each other after 0.7 to 1.0 s, and all calls to another zone's service are
-    // refused meanwhile. The longest pause is how long a lonely node stands apart once the store is back.
+    // After a power loss all nodes may start within 200 ms. With a backoff of 300 ms the zones would find
+    // each other only after 0.7 to 1.0 s, and all calls to services in other zones would be refused
+    // meanwhile. The longest backoff is how long a node without peers stays isolated once the store is
+    // available again.
     control.introducers.isolatedBackoff = Milliseconds(60);
     control.introducers.maximumIsolatedBackoff = Milliseconds(1500);
 }
@@ -84,7 +86,7 @@
     control.controlAddress = settings.listen.control;
     control.seeds = settings.seeds;
     if (settings.platform.kind == PlatformKind::Rows)
-        followRowsStore(control);
+        configureForRowsStore(control);
     return control;
 }
 
@@ -99,8 +101,9 @@
 {
     const std::uint64_t seed = std::hash<std::string>{}(settings.id);
     if (settings.requests.admission == AdmissionRule::Targets)
-        return makeAdmissionHooks(std::make_shared<TargetGate>(TargetGateSettings{1, startQueue, seed}));
-    return makeAdmissionHooks(std::make_shared<Gate>(GateSettings{1, startQueue, seed}));
+        return makeAdmissionHooks(
+            std::make_shared<TargetGate>(TargetGateSettings{1, initialQueueLimit, seed}));
+    return makeAdmissionHooks(std::make_shared<Gate>(GateSettings{1, initialQueueLimit, seed}));
 }
 
 LoadBalancerSettings placerSettings(const NodeSettings::Requests &requests)
--- a/Services/Node/NodeParts.h
+++ b/Services/Node/NodeParts.h
@@ -1,5 +1,5 @@
-// What a node's settings mean for its parts: how its control plane reads, how it places calls and which rule
-// admits them.
+// Derives the settings of a node's components, such as the control plane, the placer and admission control,
+// from the node's settings.
 #pragma once
 
 #include "NodeSettings.h"
@@ -17,7 +17,7 @@
 LoadBalancerSettings placerSettings(const NodeSettings::Requests &requests);
 BodyGrantSettings bodyGrantSettings(const NodeSettings &settings);
 
-// The rule of the gate beside the upstream; its jitter differs from node to node.
+// Admission control for the upstream beside the node. Its jitter is seeded with the node id.
 AdmissionHooks makeAdmission(const NodeSettings &settings);
 
 } // namespace Sagecrank
--- a/Services/Node/NodeSettings.cpp
+++ b/Services/Node/NodeSettings.cpp
@@ -1,4 +1,4 @@
-// Reads and checks the settings file.
+// Reads and validates the settings file.
 #include "NodeSettings.h"
 
 #include <LibCore/DurationText.h>
@@ -17,7 +17,7 @@
 
 constexpr std::int64_t oneMebibyte = std::int64_t{1} << 20;
 
-// Reads one table key by key, remembers which keys were asked for, and collects what is wrong.
+// Reads the keys of one table, tracks which keys are known, and collects problems.
 class SettingsTable
 {
 public:
@@ -48,7 +48,7 @@
         target = *value;
     }
 
-    // A name out of a table of names.
+    // Reads one of the names in an EnumNames table.
     template <typename Names>
     void readName(const char *key, std::string &target, const Names &names)
     {
@@ -150,7 +150,7 @@
         }
     }
 
-    void refuseUnknownKeys()
+    void rejectUnknownKeys()
     {
         if (this->table == nullptr)
             return;
@@ -181,7 +181,7 @@
     std::string name;
     const std::string &file;
     std::vector<std::string> &problems;
-    const toml::table *table = nullptr; // Null when the file has no such table.
+    const toml::table *table = nullptr; // Null if the file has no such table.
     std::set<std::string> known;
 };
 
@@ -207,7 +207,7 @@
         this->section("history", [&](SettingsTable &table) { table.readFlag("enabled", settings.history); });
         this->section(
             "log", [&](SettingsTable &table) { table.readName("level", settings.logLevel, logLevelNames); });
-        this->refuseUnknownTables();
+        this->rejectUnknownTables();
         return settings;
     }
 
@@ -220,7 +220,7 @@
         this->known.insert(name);
         SettingsTable table(this->root, name, this->file, this->problems);
         read(table);
-        table.refuseUnknownKeys();
+        table.rejectUnknownKeys();
     }
 
     void readNode(NodeSettings &settings)
@@ -308,7 +308,7 @@
         });
     }
 
-    void refuseUnknownTables()
+    void rejectUnknownTables()
     {
         for (const auto &[key, node] : this->root) {
             if (!this->known.contains(std::string(key.str())))
--- a/Services/Node/NodeSettings.h
+++ b/Services/Node/NodeSettings.h
@@ -1,5 +1,5 @@
-// The settings of a node, read from one TOML file and checked as a whole: an error names file, line and key,
-// and a key that nobody reads is an error too, since a misspelt one would otherwise be ignored in silence.
+// The settings of a node, read from a TOML file and validated as a whole. An error names the file, line and
+// key. Unknown keys are errors too, since a misspelt key would otherwise be ignored silently.
 #pragma once
 
 #include <LibCore/EnumNames.h>
@@ -13,7 +13,7 @@
 namespace Sagecrank {
 
 enum class PlatformKind : std::uint8_t {
-    Table, // A transactional table beside an object store, as this project's own publisher uses them.
+    Table, // A transactional table and an object store, as used by this project's own publisher.
     Rows,  // A store of rows that also holds the configuration; see platform/.
 };
 
@@ -23,8 +23,8 @@
 }};
 
 enum class AdmissionRule : std::uint8_t {
-    Classes, // By class of call, with a share of the slots for each.
-    Targets, // By target latency and priority of the routes.
+    Classes, // By class of call; each class has a share of the slots.
+    Targets, // By the target latency and priority of the route.
 };
 
 inline constexpr EnumNames<AdmissionRule, 2> admissionRuleNames{{
@@ -38,8 +38,8 @@
     std::string region;
     std::string zone;
     std::string site;
-    double linkMegabits = 0;   // A second, of the host's own link; 0: not told.
-    std::uint32_t threads = 2; // That carry requests; control has one of its own.
+    double linkMegabits = 0;   // Per second, of the host's network link; 0 if unknown.
+    std::uint32_t threads = 2; // Worker threads for requests; the control plane has a thread of its own.
 
     struct Listen
     {
@@ -48,17 +48,17 @@
         std::string gossip;  // UDP, membership.
         std::string control; // TCP, configuration pulls.
         std::string admin;   // HTTP from the upstream beside the node and from operators.
-        // For a platform that has its own calls for these; empty: the admin port alone serves them.
+        // For a platform with its own requests for these; if empty, only the admin port serves them.
         std::string announcements; // HTTP from the upstream beside the node.
         std::string probe;         // HTTP of the platform's readiness probe.
 
         bool operator==(const Listen &) const = default;
     } listen;
 
-    // Where other nodes reach this one when that is not where it listens, as behind address translation.
+    // Where other nodes reach this one if it differs from the listen address, as behind NAT.
     struct Advertise
     {
-        std::string peers; // The address it listens on unless given.
+        std::string peers; // Defaults to the listen address.
 
         bool operator==(const Advertise &) const = default;
     } advertise;
@@ -66,10 +66,10 @@
     struct Platform
     {
         PlatformKind kind = PlatformKind::Table;
-        std::string address;         // Of a store of rows.
-        std::string upstream;        // The address of the upstream beside the node; empty: as it says itself.
-        std::string upstreamService; // The service that runs on this host.
-        // An upstream that has not announced itself for this long is gone.
+        std::string address;  // Address of the store of rows.
+        std::string upstream; // Address of the upstream beside the node; if empty, from its announcement.
+        std::string upstreamService; // The service of the upstream on this host.
+        // An upstream that has not announced itself for this long is considered gone.
         Milliseconds announcementLife{3000};
         std::string table;
         std::string objects;
@@ -79,36 +79,35 @@
         bool operator==(const Platform &) const = default;
     } platform;
 
-    std::vector<std::string> seeds; // Gossip addresses of nodes to meet first.
+    std::vector<std::string> seeds; // Gossip addresses of the nodes to contact first.
 
     struct Requests
     {
-        Milliseconds maximumTimeout{30000}; // A caller's longer deadline is cut to this.
-        // A connection to the upstream that rested longer is not used again. Below the ten seconds after
-        // which upstreams that do not state their idle time were seen to close.
+        Milliseconds maximumTimeout{30000}; // Longer deadlines of callers are reduced to this.
+        // Idle connections to the upstream are not reused after this. Upstreams that do not state their idle
+        // timeout were seen to close connections after ten seconds.
         Milliseconds upstreamIdle{4000};
-        Milliseconds peerSilence{1000};   // A connection between nodes that is silent this long is given up.
+        Milliseconds peerSilence{1000};   // Closes a connection to another node after this without data.
         Milliseconds connectTimeout{500}; // To another node.
-        std::uint32_t maximumConnections = 4096; // From callers, for each thread.
+        std::uint32_t maximumConnections = 4096; // From callers, for each worker thread.
         std::uint32_t maximumHeaderBytes = 16 * 1024;
         std::uint32_t maximumBodyBytes = 1024 * 1024;
         AdmissionRule admission = AdmissionRule::Classes;
-        // How much later an answer may come for each kilobyte of a call that then stays in its zone.
+        // Extra latency that is accepted, for each kilobyte of a call, to keep the call in its zone.
         Milliseconds zoneKilobyte{0};
-        double retryShare = 0.1; // Retries for each recent first try.
-        // An allowance of retries that all nodes share, of which each takes an even part; zero: none is
-        // shared.
+        double retryShare = 0.1; // Retries allowed for each recent first attempt.
+        // A retry budget shared by all nodes, of which each node uses an equal part; 0 disables it.
         double sharedRetryReserve = 0;
-        double retryReserve = 10; // Retries of a service that is hardly called, for each ten seconds.
+        double retryReserve = 10; // Retries allowed in ten seconds for a service with few calls.
 
         bool operator==(const Requests &) const = default;
     } requests;
 
     struct Drain
     {
-        Milliseconds linger{3000};   // How long peers are given to hear of it.
-        Milliseconds maximum{60000}; // After this the node leaves whatever still runs.
-        Milliseconds killAfter{0};   // The process is killed so long after its signal; 0 when it is not.
+        Milliseconds linger{3000};   // Time for callers and peers to move to other nodes.
+        Milliseconds maximum{60000}; // After this the node leaves even if calls still run.
+        Milliseconds killAfter{0};   // Time from the signal until the platform kills the process; 0 if never.
 
         bool operator==(const Drain &) const = default;
     } drain;
@@ -119,7 +118,7 @@
     bool operator==(const NodeSettings &) const = default;
 };
 
-// All problems of the file are reported at once, one line each.
+// The error message lists all problems of the file, one on each line.
 Result<NodeSettings> readNodeSettings(const std::string &path);
 Result<NodeSettings> parseNodeSettings(const std::string &text, const std::string &path);
 
--- a/Services/Node/RequestObserver.h
+++ b/Services/Node/RequestObserver.h
@@ -1,4 +1,4 @@
-// What the path of a request reports: spans, metrics and log events, made once and shared by all threads.
+// Reports the spans, metrics and log events of requests. One instance is shared by all threads.
 #pragma once
 
 #include <LibConfig/Model.h>
@@ -13,13 +13,13 @@
 
 namespace Sagecrank {
 
-// What is known of a caller's call when it ends, and what it was decided on.
+// Summary of a caller's call at its end, with what its outcome was based on.
 struct CallSummary
 {
     std::string_view callId;
     std::string_view route;
     std::string_view cluster;
-    std::string_view upstream; // Node beside the last upstream it was sent to; empty when it was not sent.
+    std::string_view upstream; // Node beside the last upstream that it was sent to; empty if it was not sent.
     std::string_view outcome;
     std::string_view reason;
     std::uint64_t configurationVersion = 0;
@@ -29,7 +29,7 @@
     Duration left{}; // Until its deadline.
 };
 
-// Why the gate refused a call, with what it knew.
+// Why the gate refused a call, with the state that the decision was based on.
 struct GateRefusal
 {
     std::string_view callId;
@@ -38,13 +38,13 @@
     Duration left{}; // Until its deadline.
     std::uint32_t running = 0;
     std::uint32_t queued = 0;
-    std::string_view condition; // Of the upstream, as it announced itself last.
+    std::string_view condition; // Last announced condition of the upstream.
     Duration retryAfter{};
     std::uint32_t priority = 1;
-    bool lateAccepted = true; // It was to be answered even after its target.
+    bool lateAccepted = true; // The call accepts a response after its target latency.
 };
 
-// What is known of a call when the gate answers it.
+// Summary of a call when the gate answers it.
 struct GateSummary
 {
     std::string_view callId;
@@ -56,7 +56,7 @@
     Duration ran{};
     std::uint32_t freeSlots = 0;
     std::uint32_t queued = 0;
-    // Recognises the request when it comes again; zero unless its connection to the upstream broke.
+    // Identifies the request when it is repeated; 0 unless its connection to the upstream broke.
     std::uint64_t fingerprint = 0;
 };
 
@@ -65,26 +65,26 @@
 public:
     RequestObserver(EventLog &log, Metrics &metrics, SpanRing &ring);
 
-    // A span below the one that a traceparent names; a new trace when it names none.
+    // A child of the span that the traceparent names, or a new trace if it names none.
     Span openSpan(SpanName name, const std::string &traceParent, Instant start);
 
-    // A caller got its answer.
+    // A caller got its response; for the metrics.
     void callAnswered(CallClass callClass, const CallResponse &response, Duration took);
-    // The same, with what decided it; for the log.
+    // The same, with the details; for the log.
     void callEnded(const CallSummary &summary);
-    // The caller closed its connection before the answer.
+    // The caller closed its connection before the response.
     void callAbandoned(const CallSummary &summary);
-    // Refused before it was placed.
+    // The request was refused before placement.
     void requestRefused(std::string_view callId, std::uint32_t status, std::string_view reason);
-    // A call went out again; hedges count as well.
+    // A call was sent again, as a retry or a hedge.
     void callSentAgain(std::string_view callId, std::string_view upstream);
     void gateRefused(const GateRefusal &refusal);
     void gateEnded(const GateSummary &summary);
     void gateWaited(Duration waited);
     void upstreamTook(Duration took);
-    void retryDenied(std::string_view callId, const std::string &cluster); // The budget was spent.
+    void retryDenied(std::string_view callId, const std::string &cluster); // The retry budget was exhausted.
     void upstreamShed(std::string_view callId, const std::string &cluster, std::uint32_t status);
-    void upstreamCrashed(std::size_t requests); // So many ran there.
+    void upstreamCrashed(std::size_t requests); // `requests`: how many were running.
     void requestInvalid(std::string_view reason);
     void peerLost(const std::string &peer, const Error &reason);
     void peerFrameInvalid(const std::string &peer, const Error &reason);
@@ -99,7 +99,7 @@
     Metrics &metrics;
     SpanRing &ring;
     SpanIds ids;
-    std::array<Counter *, outcomeCount> calls{}; // By outcome. Owned by the registry, like the next ones.
+    std::array<Counter *, outcomeCount> calls{};          // By outcome. The registry owns all metrics.
     std::array<Distribution *, classCount> callSeconds{}; // By class.
     Counter &sentAgain;
     Distribution &waitSeconds;
--- a/Services/Node/TableAdapter.cpp
+++ b/Services/Node/TableAdapter.cpp
@@ -1,4 +1,4 @@
-// Joins a node to a transactional table and an object store, with this project's own headers.
+// Adapts a node to a transactional table and an object store, with this project's own call headers.
 #include "NodeAdapter.h"
 
 namespace Sagecrank {
--- a/Tests/Node/TestNodeDrain.cpp
+++ b/Tests/Node/TestNodeDrain.cpp
@@ -1,4 +1,4 @@
-// The order of a drain, and the presence of the upstream beside the node.
+// The stages of a drain, and the presence of the upstream beside the node.
 #include <Node/NodeDrain.h>
 #include <Node/Upstream/UpstreamPresence.h>
 
@@ -32,19 +32,21 @@
     UpstreamPresence presence{
         {[this](const std::string &cluster) { this->silent.push_back(cluster); },
          [this](const UpstreamAnnouncement &announcement) { this->gate.push_back(announcement.condition); },
-         [this](const std::string &, UpstreamState state, std::uint32_t) { this->told.push_back(state); }}};
+         [this](const std::string &, UpstreamState state, std::uint32_t) {
+             this->published.push_back(state);
+         }}};
     std::vector<std::string> silent;
     std::vector<UpstreamCondition> gate;
-    std::vector<UpstreamState> told;
+    std::vector<UpstreamState> published;
     Instant start = Instant() + std::chrono::hours(1);
     UpstreamAnnouncement booking{"booking", "127.0.0.1:9101", 6, UpstreamCondition::NotReady};
 };
 
 } // namespace
 
-// A host is taken away while a reservation runs on it. The node asks its callers to go elsewhere, tells the
-// other nodes and waits until they have heard; only then it refuses new callers, and it says goodbye when the
-// reservation has ended, so nothing is cut.
+// A host is removed while a call runs on it. The node must ask its callers to use another node, announce to
+// the other nodes that it leaves, and wait until the news has spread. Only then may it refuse new callers,
+// and it must not end before the call has.
 Test(nodeDrain, leavesOnlyWhenIdle)
 {
     DrainFixture fixture;
@@ -66,9 +68,9 @@
     cr_assert(fixture.steps == std::vector<std::string>({"deflect", "goodbye", "stop callers", "leave"}));
 }
 
-// Hosts are restarted one after the other, and each takes its upstream out while its callers look for another
-// node. The other nodes go on sending for as long as they need no more to hear of the leave.
-Test(nodeDrain, theUpstreamServesWhileCallersLeave)
+// When hosts are restarted one after the other, each upstream should keep serving while the callers of its
+// node move to other nodes. So the other nodes are told only when the linger time is nearly over.
+Test(nodeDrain, upstreamServesWhileCallersLeave)
 {
     DrainFixture fixture;
     fixture.drain.begin(fixture.start);
@@ -78,8 +80,8 @@
     cr_assert(fixture.drain.stage() == DrainStage::Announcing);
 }
 
-// A request is read between the last look at what is open and the end, and is cut at its upstream.
-Test(nodeDrain, nothingIsBegunAfterTheLastLook)
+// A request that is read between the last idle check and the shutdown would be cut off at its upstream.
+Test(nodeDrain, refusesNewRequestsBeforeTheLastIdleCheck)
 {
     bool idle = true;
     bool refused = false;
@@ -105,8 +107,8 @@
     cr_assert(steps == std::vector<std::string>({"refuse", "leave"}));
 }
 
-// Each step comes an interval late, and the last answers with it, when the process is being killed.
-Test(nodeDrain, eachStepIsDueAtItsTime)
+// If each step came an interval late, the final responses would be sent when the process is being killed.
+Test(nodeDrain, nextStepIsTheTimeOfTheNextStage)
 {
     DrainFixture fixture;
     fixture.idle = false;
@@ -120,8 +122,8 @@
     cr_assert(fixture.drain.stage() == DrainStage::Left && !fixture.drain.nextStep());
 }
 
-// With less linger than the news needs, the news comes first.
-Test(nodeDrain, aShortLingerAnnouncesAtOnce)
+// If the linger time is shorter than the announcement needs, the leave is announced at once.
+Test(nodeDrain, shortLingerAnnouncesAtOnce)
 {
     std::vector<std::string> steps;
     NodeDrain drain({Milliseconds(500), std::chrono::seconds(60)},
@@ -135,7 +137,7 @@
     cr_assert(steps.back() == "stop callers");
 }
 
-// An idle node waits for the news all the same: a call may be on its way from a node that has not heard.
+// An idle node lingers too: a call may arrive from a node that has not received the announcement yet.
 Test(nodeDrain, lingersEvenWhenIdle)
 {
     DrainFixture fixture;
@@ -144,7 +146,7 @@
     cr_assert(fixture.drain.stage() == DrainStage::Announcing);
 }
 
-Test(nodeDrain, leavesAtTheMaximumWhateverRuns)
+Test(nodeDrain, leavesAfterTheMaximumTime)
 {
     DrainFixture fixture;
     fixture.idle = false;
@@ -158,9 +160,9 @@
     cr_assert(last == std::vector<std::string>({"withdraw", "leave"}));
 }
 
-// A host is restarted, and nothing runs there any more. Saying goodbye only then keeps its upstream out for
-// as long again; it is said while the other nodes are given time to hear, and the node ends with it.
-Test(nodeDrain, theGoodbyeTakesNoTimeOfItsOwn)
+// Announcing the leave only when the node is idle would keep its upstream out of service for longer. It must
+// be announced during the linger time, and an idle node must end as soon as the announcement has been sent.
+Test(nodeDrain, leaveIsAnnouncedDuringLinger)
 {
     DrainFixture fixture;
     fixture.leaveAnnounced = false;
@@ -174,31 +176,31 @@
     cr_assert(fixture.drain.stage() == DrainStage::Left && fixture.steps.back() == "leave");
 }
 
-// An upstream dies without a word. Its announcement runs out, the gate refuses what waits and others hear
-// that it is gone; when it announces itself again it is taken back.
-Test(upstreamPresence, silenceMeansGone)
+// An upstream dies without an announcement. When its last announcement expires, the gate and the other nodes
+// must be told that it is gone; when it announces itself again, it must be accepted again.
+Test(upstreamPresence, expiredAnnouncementMeansGone)
 {
     PresenceFixture fixture;
     fixture.presence.announced(fixture.start, fixture.booking, UpstreamState::Ready);
     fixture.presence.advance(fixture.start + std::chrono::seconds(3));
-    cr_assert(fixture.told == std::vector{UpstreamState::Ready});
+    cr_assert(fixture.published == std::vector{UpstreamState::Ready});
     fixture.presence.advance(fixture.start + Milliseconds(3001));
     fixture.presence.advance(fixture.start + Milliseconds(4000));
-    cr_assert(fixture.told == std::vector({UpstreamState::Ready, UpstreamState::Gone}));
+    cr_assert(fixture.published == std::vector({UpstreamState::Ready, UpstreamState::Gone}));
     cr_assert(fixture.silent == std::vector<std::string>{"booking"});
     cr_assert(fixture.gate.back() == UpstreamCondition::NotReady);
     fixture.presence.announced(fixture.start + Milliseconds(5000), fixture.booking, UpstreamState::Ready);
-    cr_assert(fixture.told.back() == UpstreamState::Ready);
+    cr_assert(fixture.published.back() == UpstreamState::Ready);
 }
 
-// The node drains while its upstream goes on saying that it is ready. Were that believed, new work would come
-// to a host that is about to go.
-Test(upstreamPresence, drainOverridesTheUpstreamsOwnWord)
+// The node drains while its upstream keeps announcing that it is ready. Accepting that would attract new
+// calls to a host that is about to leave.
+Test(upstreamPresence, drainOverridesAnnouncements)
 {
     PresenceFixture fixture;
     fixture.presence.announced(fixture.start, fixture.booking, UpstreamState::Ready);
     fixture.presence.drain();
     fixture.presence.announced(fixture.start + Milliseconds(500), fixture.booking, UpstreamState::Ready);
-    cr_assert(fixture.told == std::vector({UpstreamState::Ready, UpstreamState::Draining}));
+    cr_assert(fixture.published == std::vector({UpstreamState::Ready, UpstreamState::Draining}));
     cr_assert(fixture.gate.back() == UpstreamCondition::Draining);
 }
--- a/Tests/Node/TestNodeSettings.cpp
+++ b/Tests/Node/TestNodeSettings.cpp
@@ -1,4 +1,4 @@
-// The settings file: a good one is read, and each mistake is named by file, line and key.
+// The settings file: valid files are read, and each error names the file, line and key.
 #include <Node/NodeSettings.h>
 
 #include <Support/TableTest.h>
@@ -9,7 +9,7 @@
 
 namespace {
 
-const std::string goodSettings = R"(
+const std::string validSettings = R"(
 [node]
 id = "b1"
 region = "sjaelland"
@@ -29,14 +29,14 @@
 seeds = ["127.0.0.1:8202"]
 )";
 
-struct BadRow
+struct InvalidRow
 {
     const char *what;
-    std::string added;   // Appended to the good settings; line 19 is its first.
-    const char *problem; // Must stand in the error.
+    std::string added;   // Appended to the valid settings; starts at line 19.
+    const char *problem; // Must be part of the error message.
 };
 
-const BadRow badRows[] = {
+const InvalidRow invalidRows[] = {
     {"unknown key", "introducers = 3\n", "node.toml:19: gossip.introducers: unknown key"},
     {"unknown table", "[drian]\nlinger_ms = 1\n", "node.toml:19: drian: unknown table"},
     {"wrong type", "[drain]\nlinger_ms = \"soon\"\n",
@@ -64,13 +64,13 @@
     {"[advertise]\npeers = \"10.0.0.7:9101\"\n", "10.0.0.7:9101"},
 };
 
-struct BadAddressRow
+struct InvalidAddressRow
 {
     const char *address;
     const char *problem;
 };
 
-const BadAddressRow badAddressRows[] = {
+const InvalidAddressRow invalidAddressRows[] = {
     {"localhost:80", "the host is not an IP number"},
     {"127.0.0.1", "wanted ip:port"},
     {"127.0.0.1:0", "the port is not a number"},
@@ -80,9 +80,9 @@
 
 } // namespace
 
-Test(nodeSettings, readsAGoodFile)
+Test(nodeSettings, readsValidFile)
 {
-    const Result<NodeSettings> settings = parseNodeSettings(goodSettings, "node.toml");
+    const Result<NodeSettings> settings = parseNodeSettings(validSettings, "node.toml");
     cr_assert(settings.has_value());
     cr_assert(settings.value().id == "b1");
     cr_assert(settings.value().threads == 3);
@@ -90,26 +90,26 @@
     cr_assert(settings.value().requests.peerSilence == Milliseconds(1000));
 }
 
-TABLE_TEST(nodeSettings, advertisesWhereItListensUnlessTold, advertiseRows)
+TABLE_TEST(nodeSettings, advertisesListenAddressByDefault, advertiseRows)
 {
-    const Result<NodeSettings> settings = parseNodeSettings(goodSettings + row.added, "node.toml");
+    const Result<NodeSettings> settings = parseNodeSettings(validSettings + row.added, "node.toml");
     cr_assert(settings.has_value());
     cr_assert(settings.value().advertise.peers == row.peers);
 }
 
-TABLE_TEST(nodeSettings, namesTheMistake, badRows)
+TABLE_TEST(nodeSettings, errorNamesLineAndKey, invalidRows)
 {
-    const Result<NodeSettings> settings = parseNodeSettings(goodSettings + row.added, "node.toml");
+    const Result<NodeSettings> settings = parseNodeSettings(validSettings + row.added, "node.toml");
     cr_assert(!settings, "%s", row.what);
     const std::string text = settings.error().message;
     cr_assert(text.find(row.problem) != std::string::npos, "%s: %s", row.what, text.c_str());
 }
 
-TABLE_TEST(nodeSettings, refusesBadAddresses, badAddressRows)
+TABLE_TEST(nodeSettings, rejectsInvalidAddresses, invalidAddressRows)
 {
-    std::string text = goodSettings;
-    const std::string good = "127.0.0.1:8101";
-    text.replace(text.find(good), good.size(), row.address);
+    std::string text = validSettings;
+    const std::string validAddress = "127.0.0.1:8101";
+    text.replace(text.find(validAddress), validAddress.size(), row.address);
     const Result<NodeSettings> settings = parseNodeSettings(text, "node.toml");
     cr_assert(!settings);
     const std::string message = settings.error().message;
@@ -117,7 +117,7 @@
     cr_assert(message.find(row.problem) != std::string::npos, "%s", message.c_str());
 }
 
-Test(nodeSettings, reportsEveryProblemAtOnce)
+Test(nodeSettings, reportsAllProblems)
 {
     const Result<NodeSettings> settings = parseNodeSettings("[node]\nid = 3\n", "node.toml");
     cr_assert(!settings);
