--- a/Services/Node/NodeParts.cpp
+++ b/Services/Node/DerivedSettings.cpp
@@ -1,5 +1,5 @@
 // Derives the settings of a node's components.
-#include "NodeParts.h"
+#include "DerivedSettings.h"
 
 #include <LibDecide/Gate.h>
 #include <LibDecide/TargetGate.h>
--- a/Services/Node/Node.cpp
+++ b/Services/Node/Node.cpp
@@ -1,7 +1,7 @@
 // Creates the components of a node and connects them.
 #include "Node.h"
 
-#include "NodeParts.h"
+#include "DerivedSettings.h"
 
 #include <LibConfig/Check.h>
 
