--- a/Services/Node/Callers/ForwardedCall.cpp
+++ b/Services/Node/Callers/ForwardedCall.cpp
@@ -108,7 +108,7 @@
         return false;
     this->triedUpstreamIds.push_back(target.candidate.id);
     if (!this->attempts.empty())
-        this->context.observer.callSentAgain(this->request.callerCallId, target.candidate.id);
+        this->context.observer.callResent(this->request.callerCallId, target.candidate.id);
     this->startAttempt(std::move(target));
     return true;
 }
--- a/Services/Node/Gate/LocalGate.cpp
+++ b/Services/Node/Gate/LocalGate.cpp
@@ -279,7 +279,7 @@
     }
     this->history.record([&] { return GateStarted{call->request.callerCallId, call->request.attemptId}; });
     const Duration remaining = call->deadline - call->startedAt;
-    this->observer.gateWaited(call->startedAt - call->arrivedAt);
+    this->observer.recordGateWait(call->startedAt - call->arrivedAt);
     this->openStepSpan(*call, SpanName::Upstream);
     HttpSendOptions options;
     options.timeout = remaining;
--- a/Services/Node/Gate/LocalGateUpstream.cpp
+++ b/Services/Node/Gate/LocalGateUpstream.cpp
@@ -125,7 +125,7 @@
         return this->answerUnknown(call, reasonNoProof, statusBadGateway, unreachableRetryAfter);
     }
     this->recordAnswer(*call);
-    this->observer.upstreamTook(SteadyClock::now() - call->startedAt);
+    this->observer.recordUpstreamTime(SteadyClock::now() - call->startedAt);
     this->freeSlot(call, response.status >= 500 ? CallOutcome::Failed : CallOutcome::Succeeded);
     if (call->claimed) {
         RecordedOutcome recorded;
--- a/Services/Node/Node.cpp
+++ b/Services/Node/Node.cpp
@@ -102,7 +102,7 @@
     , gate(this->settings.id, makeAdmission(this->settings), this->adapter.headers, this->claims.hooks(),
            this->quarantine.requestHooks(), this->history, this->observer)
     , bodies(bodyGrantSettings(this->settings))
-    , presence(this->presenceHooks(), this->settings.platform.announcementLife)
+    , presence(this->presenceHooks(), this->settings.platform.announcementLifetime)
     , record(this->control, this->adapter.table, this->settings.id, this->recordHooks())
     , forwarding{this->settings.id, this->gate,     this->view,           this->ids,
                  this->history,     this->observer, this->refusedCallers, this->quarantine.requestHooks()}
@@ -384,7 +384,7 @@
 UpstreamPresenceHooks Node::presenceHooks()
 {
     UpstreamPresenceHooks hooks;
-    hooks.silent = [this](const std::string &cluster) { this->nodeLog.upstreamSilent(cluster); };
+    hooks.announcementExpired = [this](const std::string &cluster) { this->nodeLog.upstreamSilent(cluster); };
     hooks.gate = [this](const UpstreamAnnouncement &announcement) { this->gate.announce(announcement); };
     hooks.membership = [this](const std::string &cluster, UpstreamState state, std::uint32_t slots) {
         this->nodeLog.upstreamChanged(cluster, state, slots);
--- a/Services/Node/NodeSettings.cpp
+++ b/Services/Node/NodeSettings.cpp
@@ -275,7 +275,7 @@
                 table.read("bucket", platform.bucket, false);
             }
             table.read("table_name", platform.tableName, false);
-            table.readMilliseconds("announcement_life_ms", platform.announcementLife, 100, 600000);
+            table.readMilliseconds("announcement_life_ms", platform.announcementLifetime, 100, 600000);
         });
     }
 
--- a/Services/Node/NodeSettings.h
+++ b/Services/Node/NodeSettings.h
@@ -70,7 +70,7 @@
         std::string upstream; // Address of the upstream beside the node; if empty, from its announcement.
         std::string upstreamService; // The service of the upstream on this host.
         // An upstream that has not announced itself for this long is considered gone.
-        Milliseconds announcementLife{3000};
+        Milliseconds announcementLifetime{3000};
         std::string table;
         std::string objects;
         std::string tableName = "sagecrank";
--- a/Services/Node/RequestObserver.cpp
+++ b/Services/Node/RequestObserver.cpp
@@ -80,7 +80,7 @@
     this->log.write(EventId::CallsRefused, {{"call", callId}, {"status", status}, {"reason", reason}});
 }
 
-void RequestObserver::callSentAgain(std::string_view callId, std::string_view upstream)
+void RequestObserver::callResent(std::string_view callId, std::string_view upstream)
 {
     this->sentAgain.add();
     this->log.write(EventId::CallSentAgain, {{"call", callId}, {"upstream", upstream}});
@@ -121,12 +121,12 @@
         .add();
 }
 
-void RequestObserver::gateWaited(Duration waited)
+void RequestObserver::recordGateWait(Duration waited)
 {
     this->waitSeconds.record(nanoseconds(waited));
 }
 
-void RequestObserver::upstreamTook(Duration took)
+void RequestObserver::recordUpstreamTime(Duration took)
 {
     this->upstreamSeconds.record(nanoseconds(took));
 }
--- a/Services/Node/RequestObserver.h
+++ b/Services/Node/RequestObserver.h
@@ -77,11 +77,11 @@
     // The request was refused before placement.
     void requestRefused(std::string_view callId, std::uint32_t status, std::string_view reason);
     // A call was sent again, as a retry or a hedge.
-    void callSentAgain(std::string_view callId, std::string_view upstream);
+    void callResent(std::string_view callId, std::string_view upstream);
     void gateRefused(const GateRefusal &refusal);
     void gateEnded(const GateSummary &summary);
-    void gateWaited(Duration waited);
-    void upstreamTook(Duration took);
+    void recordGateWait(Duration waited);
+    void recordUpstreamTime(Duration took);
     void retryDenied(std::string_view callId, const std::string &cluster); // The retry budget was exhausted.
     void upstreamShed(std::string_view callId, const std::string &cluster, std::uint32_t status);
     void upstreamCrashed(std::size_t requests); // `requests`: how many were running.
--- a/Services/Node/Upstream/UpstreamPresence.cpp
+++ b/Services/Node/Upstream/UpstreamPresence.cpp
@@ -159,7 +159,7 @@
     const bool present = this->lastState != UpstreamState::None && this->lastState != UpstreamState::Gone;
     if (!present || now - this->renewedAt <= this->lifetime)
         return;
-    this->hooks.silent(this->last.cluster);
+    this->hooks.announcementExpired(this->last.cluster);
     this->publish(this->last, UpstreamState::Gone);
 }
 
--- a/Services/Node/Upstream/UpstreamPresence.h
+++ b/Services/Node/Upstream/UpstreamPresence.h
@@ -16,7 +16,7 @@
 namespace Sagecrank {
 
 // An upstream renews its announcement every second, so this is three missed renewals.
-inline constexpr Duration announcementLife = std::chrono::seconds(3);
+inline constexpr Duration announcementLifetime = std::chrono::seconds(3);
 
 // When the first message that a node gets from its upstream says that it leaves, the start time of that
 // instance is unknown. For this long, every announcement under that name is rejected: longer than an instance
@@ -53,7 +53,8 @@
 
 struct UpstreamPresenceHooks
 {
-    std::function<void(const std::string &cluster)> silent; // The upstream stopped announcing itself.
+    // The upstream stopped announcing itself.
+    std::function<void(const std::string &cluster)> announcementExpired;
     std::function<void(const UpstreamAnnouncement &)> gate; // On every announcement.
     std::function<void(const std::string &cluster, UpstreamState state, std::uint32_t slots)>
         membership; // Only on changes.
@@ -67,7 +68,7 @@
 class UpstreamPresence
 {
 public:
-    explicit UpstreamPresence(UpstreamPresenceHooks hooks, Duration lifetime = announcementLife);
+    explicit UpstreamPresence(UpstreamPresenceHooks hooks, Duration lifetime = announcementLifetime);
 
     AnnouncementResult announced(Instant now, UpstreamAnnouncement announcement, UpstreamState state);
     // The named instance leaves. Its start time is not known.
--- a/Tests/Node/TestNodeDrain.cpp
+++ b/Tests/Node/TestNodeDrain.cpp
@@ -30,12 +30,12 @@
 {
 public:
     UpstreamPresence presence{
-        {[this](const std::string &cluster) { this->silent.push_back(cluster); },
+        {[this](const std::string &cluster) { this->expired.push_back(cluster); },
          [this](const UpstreamAnnouncement &announcement) { this->gate.push_back(announcement.condition); },
          [this](const std::string &, UpstreamState state, std::uint32_t) {
              this->published.push_back(state);
          }}};
-    std::vector<std::string> silent;
+    std::vector<std::string> expired;
     std::vector<UpstreamCondition> gate;
     std::vector<UpstreamState> published;
     Instant start = Instant() + std::chrono::hours(1);
@@ -187,7 +187,7 @@
     fixture.presence.advance(fixture.start + Milliseconds(3001));
     fixture.presence.advance(fixture.start + Milliseconds(4000));
     cr_assert(fixture.published == std::vector({UpstreamState::Ready, UpstreamState::Gone}));
-    cr_assert(fixture.silent == std::vector<std::string>{"booking"});
+    cr_assert(fixture.expired == std::vector<std::string>{"booking"});
     cr_assert(fixture.gate.back() == UpstreamCondition::NotReady);
     fixture.presence.announced(fixture.start + Milliseconds(5000), fixture.booking, UpstreamState::Ready);
     cr_assert(fixture.published.back() == UpstreamState::Ready);
