--- a/Tests/Control/TestControlPlane.cpp
+++ b/Tests/Control/TestControlPlane.cpp
@@ -387,5 +387,5 @@
     cr_assert(fixture.runUntil([&] { return platform.reads > before; }));
     platform.stalled = false;
     platform.version = 2;
-    cr_assert(fixture.runUntil([&] { return held == 2; }), "reads %zu times", platform.reads - before);
+    cr_assert(fixture.runUntil([&] { return held == 2; }), "%zu reads", platform.reads - before);
 }
