--- a/Services/Node/Callers/UpstreamView.cpp
+++ b/Services/Node/Callers/UpstreamView.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// Suspected members stay available: the load balancer avoids them if its own calls fail, and a single lost probe
-// must not remove an upstream on all nodes. Members that are dead or have left receive no calls.
+// Suspected members stay available: the load balancer avoids them if its own calls fail, and a single lost
+// probe must not remove an upstream on all nodes. Members that are dead or have left receive no calls.
 UpstreamCondition conditionOfMember(const Member &member)
 {
     if (member.state == MemberState::Dead || member.state == MemberState::Left)
--- a/Services/Node/Main.cpp
+++ b/Services/Node/Main.cpp
@@ -67,7 +67,7 @@
         return exitBadSettings;
     }
     if (values.count("check") > 0) {
-        std::cout << "the settings are valid\n";
+        std::cout << "settings check\n";
         return Sagecrank::exitSuccess;
     }
     return runNode(settings.value(), file);
--- a/Services/Node/Node.cpp
+++ b/Services/Node/Node.cpp
@@ -361,9 +361,8 @@
     if (request.method == "GET" || !this->presence.isLeaving())
         return exchange->respond(std::move(response));
     this->record.whenPersisted([exchange, response = std::move(response)](bool persisted) mutable {
-        exchange->respond(persisted
-                              ? std::move(response)
-                              : makeResponse(503, "text/plain", "the departure is not persisted yet\n"));
+        exchange->respond(persisted ? std::move(response)
+                                    : makeResponse(503, "text/plain", "not kept yet\n"));
     });
 }
 
--- a/Services/Node/RequestObserver.cpp
+++ b/Services/Node/RequestObserver.cpp
@@ -21,20 +21,18 @@
     , ring(ring)
     , ids(randomSeed())
     , sentAgain(metrics.counter("sagecrank_calls_sent_again_total", "Retries and hedges."))
-    , waitSeconds(metrics.distribution("sagecrank_gate_wait_seconds",
-                                       "Time that calls waited for a slot, in seconds.",
+    , waitSeconds(metrics.distribution("sagecrank_gate_wait_seconds", "Time that calls waited for a slot.",
                                        secondsPerNanosecond))
-    , upstreamSeconds(metrics.distribution(
-          "sagecrank_upstream_seconds", "Response time of the upstream, in seconds.", secondsPerNanosecond))
+    , upstreamSeconds(metrics.distribution("sagecrank_upstream_seconds", "Time that the upstream took.",
+                                           secondsPerNanosecond))
 {
     for (const auto &row : outcomeNames.rows)
-        this->calls[static_cast<std::size_t>(row.first)] =
-            &metrics.counter("sagecrank_calls_total", "Calls from callers, by outcome.",
-                             {{"outcome", std::string(row.second)}});
+        this->calls[static_cast<std::size_t>(row.first)] = &metrics.counter(
+            "sagecrank_calls_total", "Callers' calls by outcome.", {{"outcome", std::string(row.second)}});
     for (const auto &row : callClassNames.rows)
-        this->callSeconds[static_cast<std::size_t>(row.first)] = &metrics.distribution(
-            "sagecrank_call_seconds", "Time from a caller's request to its response, in seconds.",
-            secondsPerNanosecond, {{"class", std::string(row.second)}});
+        this->callSeconds[static_cast<std::size_t>(row.first)] =
+            &metrics.distribution("sagecrank_call_seconds", "Time from a caller's request to its answer.",
+                                  secondsPerNanosecond, {{"class", std::string(row.second)}});
 }
 
 Span RequestObserver::openSpan(SpanName name, const std::string &traceParent, Instant start)
