--- a/Services/Node/Control/ControlClient.cpp
+++ b/Services/Node/Control/ControlClient.cpp
@@ -47,7 +47,7 @@
             pull->finish(PullResult{std::move(response).assume_value(), bytes});
         else
             pull->finish(std::move(response).assume_error());
-        pull->connection->close(makeError(ErrorKind::Unavailable, "pull", "", "response received"));
+        pull->connection->close(makeError(ErrorKind::Unavailable, "pull", "", "done"));
     };
     hooks.onClosed = [pull](const Error &error) { pull->finish(error); };
     pull->connection =
--- a/Services/Node/Peers/PeerLink.cpp
+++ b/Services/Node/Peers/PeerLink.cpp
@@ -46,7 +46,7 @@
 {
     if (this->connection)
         this->connection->close(
-            makeError(ErrorKind::Unavailable, "keep connection", this->address, "the link was dropped"));
+            makeError(ErrorKind::Unavailable, "keep connection", this->address, "dropped"));
 }
 
 std::uint64_t PeerLink::call(CallRequest request, ResponseCallback callback)
@@ -351,7 +351,7 @@
         this->awaitingReplySince = now;
     if (this->isSilent(now) && !this->silenceTimeoutDisabled)
         return this->connection->close(
-            makeError(ErrorKind::Timeout, "wait for heartbeat", this->address, "silence timeout"));
+            makeError(ErrorKind::Timeout, "wait for heartbeat", this->address, "silent"));
     if (!this->calls.empty() || this->awaitingReplySince) {
         this->connection->send(encodeFrame(FrameType::Ping, Heartbeat{++this->lastPingSequence}));
         return this->expectReply(now);
