--- a/Utilities/Ctl/Session.cpp
+++ b/Utilities/Ctl/BlockingClient.cpp
@@ -1,5 +1,5 @@
-// Waiting for the platform and for nodes: see Session.h.
-#include <Ctl/Session.h>
+// Waiting for the platform and for nodes: see BlockingClient.h.
+#include <Ctl/BlockingClient.h>
 
 #include <boost/asio/steady_timer.hpp>
 
--- a/Utilities/Ctl/Commands.cpp
+++ b/Utilities/Ctl/Commands.cpp
@@ -1,7 +1,7 @@
 // Commands: see Commands.h.
+#include <Ctl/BlockingClient.h>
 #include <Ctl/Commands.h>
 #include <Ctl/Files.h>
-#include <Ctl/Session.h>
 #include <LibHistory/HistoryRecorder.h>
 #include <LibObserve/EventLog.h>
 #include <LibSource/Publisher.h>
--- a/Utilities/Ctl/Content.h
+++ b/Utilities/Ctl/Content.h
@@ -1,7 +1,7 @@
 // The content of a published version, and how two contents differ.
 #pragma once
 
-#include <Ctl/Session.h>
+#include <Ctl/BlockingClient.h>
 #include <LibConfig/SourceFiles.h>
 #include <LibSource/Head.h>
 
--- a/Utilities/Ctl/Queries.cpp
+++ b/Utilities/Ctl/Queries.cpp
@@ -1,8 +1,8 @@
 // Queries: see Queries.h.
+#include <Ctl/BlockingClient.h>
 #include <Ctl/Content.h>
 #include <Ctl/Files.h>
 #include <Ctl/Queries.h>
-#include <Ctl/Session.h>
 
 #include <algorithm>
 
