--- a/Tests/Ctl/TestArguments.cpp
+++ b/Tests/Ctl/TestArguments.cpp
@@ -126,7 +126,7 @@
     const std::string folder = std::string(EXAMPLES) + "/" + row.mesh;
     arguments.base = folder + "/base.toml";
     arguments.overlays = {folder + "/overlays"};
-    const Result<LocalFiles> files = readFiles(arguments);
+    const Result<LocalFiles> files = readLocalFiles(arguments);
     cr_assert(files.has_value());
     const RenderResult result = renderSites(files.value().base, files.value().overlays);
     cr_assert(result.errors.empty());
@@ -141,7 +141,7 @@
     cr_assert(compareContent(before, before).empty());
     std::string text;
     for (const Change &change : compareContent(before, after))
-        text += change.site + " " + change.what + " " + std::string(changeKindNames.name(change.kind)) + "\n";
+        text += change.site + " " + change.item + " " + std::string(changeKindNames.name(change.kind)) + "\n";
     cr_assert(text
                   == "a cluster booking changed\na route y removed\na route z added\nb site removed\n"
                      "c site added\n",
@@ -157,7 +157,7 @@
         std::vector<RenderedSite> after = before;
         change(after[0]);
         const std::vector<Change> changes = compareContent(before, after);
-        return changes.size() == 1 ? changes[0].what + ": " + changes[0].after : std::string();
+        return changes.size() == 1 ? changes[0].item + ": " + changes[0].after : std::string();
     };
     const auto routeShows = [&shown](const char *value, const std::function<void(Route &)> &change) {
         const std::string text = shown([&](RenderedSite &site) { change(site.sections[0].routes[0]); });
--- a/Utilities/Ctl/BlockingClient.cpp
+++ b/Utilities/Ctl/BlockingClient.cpp
@@ -7,14 +7,14 @@
 
 namespace Sagecrank {
 
-Session::Session(const PlatformClientSettings &platformSettings)
+BlockingClient::BlockingClient(const PlatformClientSettings &platformSettings)
     : settings(platformSettings)
     , platform(this->context, platformSettings)
     , nodes(this->context, {})
 {
 }
 
-Scheduler Session::later()
+Scheduler BlockingClient::scheduler()
 {
     return [this](Duration delay, std::function<void()> event) {
         const auto timer = std::make_shared<boost::asio::steady_timer>(this->context, delay);
@@ -22,8 +22,8 @@
     };
 }
 
-Result<std::string> Session::askNode(const std::string &address, const std::string &method,
-                                     const std::string &target)
+Result<std::string> BlockingClient::sendNodeRequest(const std::string &address, const std::string &method,
+                                                    const std::string &target)
 {
     return this->wait<Result<std::string>>([&](const std::function<void(Result<std::string>)> &callback) {
         const auto done = [callback, address](const HttpFailure *failure, HttpResponse response) {
--- a/Utilities/Ctl/BlockingClient.h
+++ b/Utilities/Ctl/BlockingClient.h
@@ -13,14 +13,14 @@
 
 namespace Sagecrank {
 
-class Session
+class BlockingClient
 {
 public:
-    explicit Session(const PlatformClientSettings &settings);
+    explicit BlockingClient(const PlatformClientSettings &settings);
 
     TablePort table() { return this->platform.tablePort(); }
     ObjectPort objects() { return this->platform.objectPort(); }
-    Scheduler later();
+    Scheduler scheduler();
 
     // Starts the step and runs until it has called back.
     template <typename T>
@@ -36,16 +36,16 @@
 
     // The same for a read, repeated when the platform does not answer.
     template <typename T>
-    Result<T> read(const std::function<void(std::function<void(Result<T>)>)> &start)
+    Result<T> readWithRetries(const std::function<void(std::function<void(Result<T>)>)> &start)
     {
         return this->wait<Result<T>>([&](std::function<void(Result<T>)> callback) {
-            withRetries<T>(RetryPolicy{}, this->later(), start, std::move(callback));
+            withRetries<T>(RetryPolicy{}, this->scheduler(), start, std::move(callback));
         });
     }
 
     // Refused: the node answered with another status than 2xx.
-    Result<std::string> askNode(const std::string &address, const std::string &method,
-                                const std::string &target);
+    Result<std::string> sendNodeRequest(const std::string &address, const std::string &method,
+                                        const std::string &target);
 
 private:
     const PlatformClientSettings settings;
--- a/Utilities/Ctl/Commands.cpp
+++ b/Utilities/Ctl/Commands.cpp
@@ -62,7 +62,7 @@
 {
     recordReport(arguments, report);
     logReport(arguments, report);
-    printer.report(report);
+    printer.publishResult(report);
     return exitCodeOf(report);
 }
 
@@ -70,7 +70,7 @@
 
 ExitCode publish(const Arguments &arguments, const Printer &printer)
 {
-    const Result<LocalFiles> files = readFiles(arguments);
+    const Result<LocalFiles> files = readLocalFiles(arguments);
     if (!files) {
         printer.error(files.error());
         return exitCodeOf(files.error());
@@ -81,9 +81,9 @@
         printer.faults(rendered.errors);
         return ExitCode::InvalidInput;
     }
-    Session session(arguments.platform);
-    const Publisher publisher(session.table(), session.objects(), session.later());
-    const auto report = session.wait<PublishResult>([&](const PublishCallback &callback) {
+    BlockingClient client(arguments.platform);
+    const Publisher publisher(client.table(), client.objects(), client.scheduler());
+    const auto report = client.wait<PublishResult>([&](const PublishCallback &callback) {
         publisher.publish(std::move(rendered.sites), factsOf(arguments), callback);
     });
     return finish(arguments, printer, report);
@@ -91,9 +91,9 @@
 
 ExitCode rollback(const Arguments &arguments, const Printer &printer)
 {
-    Session session(arguments.platform);
-    const Publisher publisher(session.table(), session.objects(), session.later());
-    const auto report = session.wait<PublishResult>([&](const PublishCallback &callback) {
+    BlockingClient client(arguments.platform);
+    const Publisher publisher(client.table(), client.objects(), client.scheduler());
+    const auto report = client.wait<PublishResult>([&](const PublishCallback &callback) {
         publisher.rollback(*arguments.to, factsOf(arguments), callback);
     });
     return finish(arguments, printer, report);
@@ -101,14 +101,14 @@
 
 ExitCode drain(const Arguments &arguments, const Printer &printer)
 {
-    Session session(arguments.platform);
+    BlockingClient client(arguments.platform);
     const std::string &node = arguments.nodes.front();
-    const Result<std::string> answer = session.askNode(node, "POST", "/v1/drain");
+    const Result<std::string> answer = client.sendNodeRequest(node, "POST", "/v1/drain");
     if (!answer) {
         printer.error(answer.error());
         return exitCodeOf(answer.error());
     }
-    printer.drained(node, answer.value());
+    printer.drainStarted(node, answer.value());
     return ExitCode::Success;
 }
 
--- a/Utilities/Ctl/Content.cpp
+++ b/Utilities/Ctl/Content.cpp
@@ -55,16 +55,16 @@
     }
 }
 
-Result<SiteConfiguration> readSite(Session &session, const VersionManifest &manifest, const std::string &name,
-                                   SectionBytes &known)
+Result<SiteConfiguration> readSite(BlockingClient &client, const VersionManifest &manifest,
+                                   const std::string &name, SectionBytes &known)
 {
-    const VersionReader reader(session.objects());
-    const SiteManifest site = TRY(
-        session.read<SiteManifest>([&](auto callback) { reader.site(manifest, name, std::move(callback)); }));
+    const VersionReader reader(client.objects());
+    const SiteManifest site = TRY(client.readWithRetries<SiteManifest>(
+        [&](auto callback) { reader.site(manifest, name, std::move(callback)); }));
     for (const SectionReference &section : site.sections) {
         if (known.count(section.digest) != 0)
             continue;
-        known[section.digest] = TRY(session.read<ObjectBytes>(
+        known[section.digest] = TRY(client.readWithRetries<ObjectBytes>(
             [&](auto callback) { reader.section(section.digest, std::move(callback)); }));
     }
     return assemble(site, known);
@@ -72,26 +72,26 @@
 
 } // namespace
 
-Result<std::vector<RenderedSite>> readContent(Session &session, const Head &head)
+Result<std::vector<RenderedSite>> readVersionContent(BlockingClient &client, const Head &head)
 {
     std::vector<RenderedSite> sites;
     if (head.version == 0)
         return sites;
-    const VersionReader reader(session.objects());
-    const VersionManifest manifest = TRY(
-        session.read<VersionManifest>([&](auto callback) { reader.manifest(head, std::move(callback)); }));
+    const VersionReader reader(client.objects());
+    const VersionManifest manifest = TRY(client.readWithRetries<VersionManifest>(
+        [&](auto callback) { reader.manifest(head, std::move(callback)); }));
     SectionBytes known;
     for (const VersionManifest::SiteReference &reference : manifest.sites) {
-        SiteConfiguration site = TRY(readSite(session, manifest, reference.site, known));
+        SiteConfiguration site = TRY(readSite(client, manifest, reference.site, known));
         sites.push_back({reference.site, std::move(site.sections), site.manifest.limits});
     }
     return sites;
 }
 
-Result<Head> headOfVersion(Session &session, std::uint64_t version)
+Result<Head> readHeadOfVersion(BlockingClient &client, std::uint64_t version)
 {
-    const auto row = TRY(session.read<std::optional<Row>>(
-        [&](auto callback) { session.table().get(historyKey(version), std::move(callback)); }));
+    const auto row = TRY(client.readWithRetries<std::optional<Row>>(
+        [&](auto callback) { client.table().get(historyKey(version), std::move(callback)); }));
     if (!row)
         return makeError(ErrorKind::NotFound, "read history", "",
                          "there is no version " + std::to_string(version));
--- a/Utilities/Ctl/Content.h
+++ b/Utilities/Ctl/Content.h
@@ -11,10 +11,10 @@
 namespace Sagecrank {
 
 // Reads every site of the version, digests checked.
-Result<std::vector<RenderedSite>> readContent(Session &session, const Head &head);
+Result<std::vector<RenderedSite>> readVersionContent(BlockingClient &client, const Head &head);
 
 // The head of an accepted version by its number, out of the history.
-Result<Head> headOfVersion(Session &session, std::uint64_t version);
+Result<Head> readHeadOfVersion(BlockingClient &client, std::uint64_t version);
 
 enum class ChangeKind : std::uint8_t { Added, Removed, Changed };
 
@@ -28,7 +28,7 @@
 {
     ChangeKind kind = ChangeKind::Changed;
     std::string site;
-    std::string what;   // "site", "cluster booking" or "route reserve".
+    std::string item;   // "site", "cluster booking" or "route reserve".
     std::string before; // Empty when added.
     std::string after;  // Empty when removed.
 
--- a/Utilities/Ctl/ExitCode.cpp
+++ b/Utilities/Ctl/ExitCode.cpp
@@ -41,7 +41,7 @@
 std::string exitCodeHelp()
 {
     std::string text = "Exit codes:\n";
-    for (const auto &row : exitCodeMeanings.rows)
+    for (const auto &row : exitCodeDescriptions.rows)
         text += "  " + std::to_string(static_cast<int>(row.first)) + "  " + std::string(row.second) + "\n";
     return text;
 }
--- a/Utilities/Ctl/ExitCode.h
+++ b/Utilities/Ctl/ExitCode.h
@@ -34,7 +34,7 @@
     {ExitCode::Internal, "internal"},
 }};
 
-inline constexpr EnumNames<ExitCode, 9> exitCodeMeanings{{
+inline constexpr EnumNames<ExitCode, 9> exitCodeDescriptions{{
     {ExitCode::Success, "done as asked"},
     {ExitCode::Differs, "diff: the two sides differ"},
     {ExitCode::Usage, "wrong usage; nothing was tried"},
--- a/Utilities/Ctl/Files.cpp
+++ b/Utilities/Ctl/Files.cpp
@@ -40,7 +40,7 @@
 
 } // namespace
 
-Result<LocalFiles> readFiles(const Arguments &arguments)
+Result<LocalFiles> readLocalFiles(const Arguments &arguments)
 {
     LocalFiles files;
     files.base = TRY(readFile(arguments.base));
--- a/Utilities/Ctl/Files.h
+++ b/Utilities/Ctl/Files.h
@@ -14,6 +14,6 @@
 };
 
 // NotFound names the file or folder that cannot be read.
-Result<LocalFiles> readFiles(const Arguments &arguments);
+Result<LocalFiles> readLocalFiles(const Arguments &arguments);
 
 } // namespace Sagecrank
--- a/Utilities/Ctl/Print.cpp
+++ b/Utilities/Ctl/Print.cpp
@@ -158,7 +158,7 @@
     this->out << json::object{{"valid", false}, {"faults", std::move(all)}} << "\n";
 }
 
-void Printer::checked(const RenderResult &result) const
+void Printer::validated(const RenderResult &result) const
 {
     std::size_t clusters = 0;
     std::size_t routes = 0;
@@ -208,14 +208,14 @@
         for (const Change &change : changes)
             all.emplace_back(json::object{{"kind", changeKindNames.name(change.kind)},
                                           {"site", change.site},
-                                          {"what", change.what},
+                                          {"what", change.item},
                                           {"before", change.before},
                                           {"after", change.after}});
         this->out << json::object{{"changes", std::move(all)}} << "\n";
         return;
     }
     for (const Change &change : changes) {
-        this->out << change.site << ": " << change.what << " " << changeKindNames.name(change.kind) << "\n";
+        this->out << change.site << ": " << change.item << " " << changeKindNames.name(change.kind) << "\n";
         if (!change.before.empty())
             this->out << "  - " << change.before << "\n";
         if (!change.after.empty())
@@ -224,10 +224,10 @@
     this->out << changes.size() << (changes.size() == 1 ? " change\n" : " changes\n");
 }
 
-void Printer::status(const Head &head, const std::vector<NodeAnswer> &nodes) const
+void Printer::status(const Head &head, const std::vector<NodeStatus> &nodes) const
 {
     json::array all;
-    for (const NodeAnswer &node : nodes) {
+    for (const NodeStatus &node : nodes) {
         json::object entry{{"address", node.address}};
         if (node.status)
             entry["status"] = nodeJson(node.status.value());
@@ -278,7 +278,7 @@
     }
 }
 
-void Printer::report(const PublishResult &report) const
+void Printer::publishResult(const PublishResult &report) const
 {
     if (!this->json) {
         std::ostream &stream = report.outcome == PublishOutcome::Accepted ? this->out : this->errors;
@@ -295,7 +295,7 @@
     this->out << object << "\n";
 }
 
-void Printer::drained(const std::string &node, const std::string &answer) const
+void Printer::drainStarted(const std::string &node, const std::string &answer) const
 {
     if (this->json)
         this->out << json::object{{"node", node}, {"draining", true}, {"answer", nodeJson(answer)}} << "\n";
--- a/Utilities/Ctl/Print.h
+++ b/Utilities/Ctl/Print.h
@@ -12,7 +12,7 @@
 
 namespace Sagecrank {
 
-struct NodeAnswer
+struct NodeStatus
 {
     std::string address;
     Result<std::string> status; // The node's own JSON.
@@ -30,13 +30,13 @@
 
     void error(const Error &error) const;
     void faults(const std::vector<SourceError> &faults) const;
-    void checked(const RenderResult &result) const;
+    void validated(const RenderResult &result) const;
     void sites(const std::vector<RenderedSite> &sites) const;
     void changes(const std::vector<Change> &changes) const;
-    void status(const Head &head, const std::vector<NodeAnswer> &nodes) const;
+    void status(const Head &head, const std::vector<NodeStatus> &nodes) const;
     void history(const std::vector<HistoryEntry> &entries) const;
-    void report(const PublishResult &report) const;
-    void drained(const std::string &node, const std::string &answer) const;
+    void publishResult(const PublishResult &report) const;
+    void drainStarted(const std::string &node, const std::string &answer) const;
 
 private:
     std::ostream &out;
--- a/Utilities/Ctl/Queries.cpp
+++ b/Utilities/Ctl/Queries.cpp
@@ -19,7 +19,7 @@
 // Renders the local files, or prints what is wrong with them.
 std::optional<RenderResult> renderLocal(const Arguments &arguments, const Printer &printer, ExitCode &code)
 {
-    const Result<LocalFiles> files = readFiles(arguments);
+    const Result<LocalFiles> files = readLocalFiles(arguments);
     if (!files) {
         code = fail(printer, files.error());
         return std::nullopt;
@@ -32,16 +32,16 @@
     return std::nullopt;
 }
 
-Result<Head> readHead(Session &session)
+Result<Head> readHead(BlockingClient &client)
 {
-    const HeadReader reader(session.table());
-    return session.read<Head>([&](auto callback) { reader.read(std::move(callback)); });
+    const HeadReader reader(client.table());
+    return client.readWithRetries<Head>([&](auto callback) { reader.read(std::move(callback)); });
 }
 
-Result<std::vector<RenderedSite>> readVersion(Session &session, std::optional<std::uint64_t> version)
+Result<std::vector<RenderedSite>> readVersion(BlockingClient &client, std::optional<std::uint64_t> version)
 {
-    const Head head = version ? TRY(headOfVersion(session, *version)) : TRY(readHead(session));
-    return readContent(session, head);
+    const Head head = version ? TRY(readHeadOfVersion(client, *version)) : TRY(readHead(client));
+    return readVersionContent(client, head);
 }
 
 void keepOnly(const std::string &site, std::vector<RenderedSite> &sites)
@@ -57,7 +57,7 @@
     ExitCode code = ExitCode::Success;
     const auto result = renderLocal(arguments, printer, code);
     if (result)
-        printer.checked(*result);
+        printer.validated(*result);
     return code;
 }
 
@@ -77,8 +77,8 @@
 ExitCode diff(const Arguments &arguments, const Printer &printer)
 {
     ExitCode code = ExitCode::Success;
-    Session session(arguments.platform);
-    Result<std::vector<RenderedSite>> before = readVersion(session, arguments.from);
+    BlockingClient client(arguments.platform);
+    Result<std::vector<RenderedSite>> before = readVersion(client, arguments.from);
     if (!before)
         return fail(printer, before.error());
     std::vector<RenderedSite> after;
@@ -88,7 +88,7 @@
             return code;
         after = std::move(local->sites);
     } else {
-        Result<std::vector<RenderedSite>> newer = readVersion(session, arguments.to);
+        Result<std::vector<RenderedSite>> newer = readVersion(client, arguments.to);
         if (!newer)
             return fail(printer, newer.error());
         after = std::move(newer.value());
@@ -102,24 +102,24 @@
 
 ExitCode status(const Arguments &arguments, const Printer &printer)
 {
-    Session session(arguments.platform);
-    const Result<Head> head = readHead(session);
+    BlockingClient client(arguments.platform);
+    const Result<Head> head = readHead(client);
     if (!head)
         return fail(printer, head.error());
-    std::vector<NodeAnswer> nodes;
+    std::vector<NodeStatus> nodes;
     for (const std::string &address : arguments.nodes)
-        nodes.push_back({address, session.askNode(address, "GET", "/status")});
+        nodes.push_back({address, client.sendNodeRequest(address, "GET", "/status")});
     printer.status(head.value(), nodes);
     const bool allAnswered = std::all_of(nodes.begin(), nodes.end(),
-                                         [](const NodeAnswer &node) { return node.status.has_value(); });
+                                         [](const NodeStatus &node) { return node.status.has_value(); });
     return allAnswered ? ExitCode::Success : ExitCode::Unavailable;
 }
 
 ExitCode history(const Arguments &arguments, const Printer &printer)
 {
-    Session session(arguments.platform);
-    const HeadReader reader(session.table());
-    const auto entries = session.read<std::vector<HistoryEntry>>(
+    BlockingClient client(arguments.platform);
+    const HeadReader reader(client.table());
+    const auto entries = client.readWithRetries<std::vector<HistoryEntry>>(
         [&](auto callback) { reader.history(arguments.limit, std::move(callback)); });
     if (!entries)
         return fail(printer, entries.error());
