--- a/Tests/Ctl/TestArguments.cpp
+++ b/Tests/Ctl/TestArguments.cpp
@@ -1,4 +1,4 @@
-// What sagecrankctl accepts on its command line, and how it ends.
+// Tests the arguments, the exit codes and the comparison of versions of sagecrankctl.
 #include <Ctl/Arguments.h>
 #include <Ctl/Content.h>
 #include <Ctl/Files.h>
@@ -9,14 +9,14 @@
 
 namespace {
 
-struct LineRow
+struct ArgumentsRow
 {
     const char *name;
     std::vector<const char *> words;
-    std::optional<ExitCode> ends; // None when the arguments are taken.
+    std::optional<ExitCode> exitCode; // None if the arguments are valid.
 };
 
-const LineRow lineRows[] = {
+const ArgumentsRow argumentsRows[] = {
     {"nothing", {}, ExitCode::Usage},
     {"help", {"--help"}, ExitCode::Success},
     {"no such action", {"deploy"}, ExitCode::Usage},
@@ -54,14 +54,14 @@
 
 const ExampleRow exampleRows[] = {{"borgbillet", 3}, {"borra-limpio", 4}};
 
-struct ReportRow
+struct ResultRow
 {
     PublishOutcome outcome;
     ErrorKind kind;
     ExitCode code;
 };
 
-const ReportRow reportRows[] = {
+const ResultRow resultRows[] = {
     {PublishOutcome::Accepted, ErrorKind::Timeout, ExitCode::Success},
     {PublishOutcome::Conflict, ErrorKind::Internal, ExitCode::Conflict},
     {PublishOutcome::Unknown, ErrorKind::Timeout, ExitCode::Unknown},
@@ -70,7 +70,7 @@
     {PublishOutcome::Failed, ErrorKind::NotFound, ExitCode::NotFound},
 };
 
-std::variant<Arguments, ExitCode> read(std::vector<const char *> words)
+std::variant<Arguments, ExitCode> parse(std::vector<const char *> words)
 {
     words.insert(words.begin(), "sagecrankctl");
     std::vector<char *> values;
@@ -79,7 +79,7 @@
     return readArguments(static_cast<int>(values.size()), values.data());
 }
 
-RenderedSite siteWith(const std::string &name, std::uint32_t queue, std::vector<std::string> routes)
+RenderedSite makeSite(const std::string &name, std::uint32_t queue, std::vector<std::string> routes)
 {
     RenderedSite site{name, {{"booking", queue, {}}}};
     for (const std::string &route : routes) {
@@ -92,32 +92,33 @@
 
 } // namespace
 
-TABLE_TEST(arguments, areCheckedBeforeAnythingIsTried, lineRows)
+TABLE_TEST(arguments, areChecked, argumentsRows)
 {
-    const auto result = read(row.words);
+    const auto result = parse(row.words);
     const auto *code = std::get_if<ExitCode>(&result);
-    cr_assert((code != nullptr) == row.ends.has_value(), "%s", row.name);
+    cr_assert((code != nullptr) == row.exitCode.has_value(), "%s", row.name);
     if (code != nullptr)
-        cr_assert(*code == *row.ends, "%s", row.name);
+        cr_assert(*code == *row.exitCode, "%s", row.name);
 }
 
-Test(arguments, expectationIsAVersionOrTheCurrentOne)
+Test(arguments, expectTakesAVersionOrCurrent)
 {
     const std::vector<const char *> words = {"publish",    "--base", "b",        "--overlays", "o",
                                              "--operator", "anna",   "--expect", "17"};
-    cr_assert(std::get<Arguments>(read(words)).expected == 17);
+    cr_assert(std::get<Arguments>(parse(words)).expected == 17);
     std::vector<const char *> current = words;
     current.back() = "current";
-    cr_assert(!std::get<Arguments>(read(current)).expected);
+    cr_assert(!std::get<Arguments>(parse(current)).expected);
 }
 
-// A script that publishes must tell "lost to another" from "try again" and from "look first".
-TABLE_TEST(exitCodes, tellReportsApart, reportRows)
+// Scripts tell a conflict from a failure without effect (retry) and from an unknown outcome (read the history
+// first) by the exit code.
+TABLE_TEST(exitCodes, distinguishPublishOutcomes, resultRows)
 {
-    PublishResult report;
-    report.outcome = row.outcome;
-    report.error.kind = row.kind;
-    cr_assert(exitCodeOf(report) == row.code);
+    PublishResult result;
+    result.outcome = row.outcome;
+    result.error.kind = row.kind;
+    cr_assert(exitCodeOf(result) == row.code);
 }
 
 TABLE_TEST(examples, areValid, exampleRows)
@@ -136,8 +137,8 @@
 
 Test(content, differencesNameSiteAndRoute)
 {
-    const std::vector<RenderedSite> before = {siteWith("a", 1, {"x", "y"}), siteWith("b", 1, {"x"})};
-    const std::vector<RenderedSite> after = {siteWith("a", 2, {"x", "z"}), siteWith("c", 1, {"x"})};
+    const std::vector<RenderedSite> before = {makeSite("a", 1, {"x", "y"}), makeSite("b", 1, {"x"})};
+    const std::vector<RenderedSite> after = {makeSite("a", 2, {"x", "z"}), makeSite("c", 1, {"x"})};
     cr_assert(compareContent(before, before).empty());
     std::string text;
     for (const Change &change : compareContent(before, after))
@@ -148,26 +149,28 @@
               "%s", text.c_str());
 }
 
-// An operator looks at what a change does before publishing it: every value of a route and of the callers
-// shows.
-Test(content, changesOfAnyValueShow)
+// Operators review the diff before they publish, so a change of any value of a route or of the caller limits
+// must appear in it.
+Test(content, changesOfAnyValueAppear)
 {
-    const std::vector<RenderedSite> before = {siteWith("a", 1, {"x"})};
-    const auto shown = [&before](const std::function<void(RenderedSite &)> &change) {
+    const std::vector<RenderedSite> before = {makeSite("a", 1, {"x"})};
+    const auto describeChange = [&before](const std::function<void(RenderedSite &)> &change) {
         std::vector<RenderedSite> after = before;
         change(after[0]);
         const std::vector<Change> changes = compareContent(before, after);
         return changes.size() == 1 ? changes[0].item + ": " + changes[0].after : std::string();
     };
-    const auto routeShows = [&shown](const char *value, const std::function<void(Route &)> &change) {
-        const std::string text = shown([&](RenderedSite &site) { change(site.sections[0].routes[0]); });
+    const auto routeChangeShows = [&describeChange](const char *value,
+                                                    const std::function<void(Route &)> &change) {
+        const std::string text =
+            describeChange([&](RenderedSite &site) { change(site.sections[0].routes[0]); });
         return text.starts_with("route x: ") && text.find(value) != std::string::npos;
     };
-    cr_assert(routeShows("priority=0", [](Route &route) { route.priority = 0; }));
-    cr_assert(routeShows("host=h.example", [](Route &route) { route.host = "h.example"; }));
-    cr_assert(
-        routeShows("target_latency_ms=90", [](Route &route) { route.targetLatency = Milliseconds(90); }));
-    cr_assert(routeShows("split.entry=3", [](Route &route) { route.split = {{"entry", 3}}; }));
-    cr_assert(shown([](RenderedSite &site) { site.limits.bodyBytes = 9; })
+    cr_assert(routeChangeShows("priority=0", [](Route &route) { route.priority = 0; }));
+    cr_assert(routeChangeShows("host=h.example", [](Route &route) { route.host = "h.example"; }));
+    cr_assert(routeChangeShows("target_latency_ms=90",
+                               [](Route &route) { route.targetLatency = Milliseconds(90); }));
+    cr_assert(routeChangeShows("split.entry=3", [](Route &route) { route.split = {{"entry", 3}}; }));
+    cr_assert(describeChange([](RenderedSite &site) { site.limits.bodyBytes = 9; })
               == "callers: maximum_body_bytes=9");
 }
--- a/Utilities/Ctl/Arguments.cpp
+++ b/Utilities/Ctl/Arguments.cpp
@@ -1,4 +1,4 @@
-// The command line: see Arguments.h.
+// Implements Arguments.h with Boost.Program_options.
 #include <Ctl/Arguments.h>
 #include <LibCommandLine/CommandLine.h>
 
@@ -31,6 +31,7 @@
 
 )";
 
+// Option values that are converted or combined before they are stored in Arguments.
 struct RawArguments
 {
     std::string action;
@@ -40,10 +41,10 @@
     std::string objects;
     std::string from;
     std::string to;
-    std::int64_t timeout = 2000;
+    std::int64_t timeoutMs = 2000;
 };
 
-options::options_description describe(Arguments &arguments, RawArguments &raw)
+options::options_description makeOptions(Arguments &arguments, RawArguments &raw)
 {
     options::options_description description("Options");
     auto add = description.add_options();
@@ -66,13 +67,13 @@
     add("objects", options::value(&raw.objects), "object store, when it is elsewhere");
     add("table-name", options::value(&arguments.platform.tableName)->default_value("sagecrank"), "table");
     add("bucket", options::value(&arguments.platform.bucket)->default_value("sagecrank"), "bucket");
-    add("timeout-ms", options::value(&raw.timeout)->default_value(raw.timeout), "of each request");
+    add("timeout-ms", options::value(&raw.timeoutMs)->default_value(raw.timeoutMs), "of each request");
     add("json", options::bool_switch(&arguments.json), "print JSON");
     add("events", options::bool_switch(&arguments.events), "history events on standard output");
     return description;
 }
 
-Result<std::optional<std::uint64_t>> readVersion(const std::string &name, const std::string &text)
+Result<std::optional<std::uint64_t>> parseVersion(const std::string &name, const std::string &text)
 {
     if (text.empty())
         return std::optional<std::uint64_t>();
@@ -83,43 +84,43 @@
     return std::optional<std::uint64_t>(version);
 }
 
-Error missing(const std::string &what)
+Error missingArgument(const std::string &argument)
 {
-    return makeError(ErrorKind::InvalidInput, "read arguments", "", "missing: " + what);
+    return makeError(ErrorKind::InvalidInput, "read arguments", "", "missing: " + argument);
 }
 
-// What the action cannot do without. A publish without --expect would silently overwrite a colleague's
-// change, so it has to be said.
-Result<void> checkPresent(const Arguments &arguments, const RawArguments &raw)
+// Checks that the arguments the action requires are present. publish requires --expect, because without it
+// one operator would silently overwrite the change of another.
+Result<void> checkRequired(const Arguments &arguments, const RawArguments &raw)
 {
     const bool hasFiles = !arguments.base.empty() && !arguments.overlays.empty();
     switch (arguments.action) {
     case Action::Validate:
     case Action::Render:
         if (!hasFiles)
-            return missing("--base and --overlays");
+            return missingArgument("--base and --overlays");
         break;
     case Action::Diff:
         if (!hasFiles && !arguments.from)
-            return missing("--base and --overlays, or --from");
+            return missingArgument("--base and --overlays, or --from");
         break;
     case Action::Publish:
         if (!hasFiles)
-            return missing("--base and --overlays");
+            return missingArgument("--base and --overlays");
         if (raw.expect.empty())
-            return missing("--expect VERSION, or --expect current");
+            return missingArgument("--expect VERSION, or --expect current");
         if (arguments.operatorName.empty())
-            return missing("--operator");
+            return missingArgument("--operator");
         break;
     case Action::Rollback:
         if (!arguments.to)
-            return missing("--to VERSION");
+            return missingArgument("--to VERSION");
         if (arguments.operatorName.empty())
-            return missing("--operator");
+            return missingArgument("--operator");
         break;
     case Action::Drain:
         if (arguments.nodes.size() != 1)
-            return missing("one --node");
+            return missingArgument("one --node");
         break;
     case Action::Status:
     case Action::History:
@@ -128,23 +129,23 @@
     return success();
 }
 
-Result<void> complete(Arguments &arguments, const RawArguments &raw)
+Result<void> convertAndCheck(Arguments &arguments, const RawArguments &raw)
 {
     const auto action = actionNames.value(raw.action);
     if (!action)
         return makeError(ErrorKind::InvalidInput, "read arguments", "", "no such action: " + raw.action);
     arguments.action = *action;
     if (raw.expect != "current")
-        arguments.expected = TRY(readVersion("expect", raw.expect));
-    arguments.from = TRY(readVersion("from", raw.from));
-    arguments.to = TRY(readVersion("to", raw.to));
-    if (raw.timeout < 1 || raw.timeout > 600000)
+        arguments.expected = TRY(parseVersion("expect", raw.expect));
+    arguments.from = TRY(parseVersion("from", raw.from));
+    arguments.to = TRY(parseVersion("to", raw.to));
+    if (raw.timeoutMs < 1 || raw.timeoutMs > 600000)
         return makeError(ErrorKind::InvalidInput, "read arguments", "",
                          "--timeout-ms is outside 1 to 600000");
     arguments.platform.table = raw.table.empty() ? raw.platform : raw.table;
     arguments.platform.objects = raw.objects.empty() ? raw.platform : raw.objects;
-    arguments.platform.requestTimeout = Milliseconds(raw.timeout);
-    return checkPresent(arguments, raw);
+    arguments.platform.requestTimeout = Milliseconds(raw.timeoutMs);
+    return checkRequired(arguments, raw);
 }
 
 } // namespace
@@ -155,14 +156,14 @@
     RawArguments raw;
     CommandLine line;
     line.usage = usageText + exitCodeHelp();
-    line.options.add(describe(arguments, raw));
+    line.options.add(makeOptions(arguments, raw));
     line.positional.add("action", 1);
     options::variables_map map;
     if (const auto exitCode = readCommandLine(line, count, values, map))
         return *exitCode == exitSuccess ? ExitCode::Success : ExitCode::Usage;
-    const Result<void> completed = complete(arguments, raw);
-    if (!completed) {
-        std::cerr << "sagecrankctl: " << completed.error().message << " (see --help)\n";
+    const Result<void> converted = convertAndCheck(arguments, raw);
+    if (!converted) {
+        std::cerr << "sagecrankctl: " << converted.error().message << " (see --help)\n";
         return ExitCode::Usage;
     }
     return arguments;
--- a/Utilities/Ctl/Arguments.h
+++ b/Utilities/Ctl/Arguments.h
@@ -1,4 +1,4 @@
-// What the operator asked for, out of the command line.
+// The parsed command line of sagecrankctl.
 #pragma once
 
 #include <Ctl/ExitCode.h>
@@ -12,7 +12,7 @@
 
 namespace Sagecrank {
 
-// Queries change nothing. Commands change what is in force, or a node.
+// Validate to History are read-only; Publish, Rollback and Drain change the configuration in force or a node.
 enum class Action : std::uint8_t { Validate, Render, Diff, Status, History, Publish, Rollback, Drain };
 
 inline constexpr EnumNames<Action, 8> actionNames{{
@@ -30,20 +30,20 @@
 {
     Action action = Action::Status;
     bool json = false;
-    bool events = false; // History events on standard output, for proof runs.
+    bool events = false; // Print history events on standard output, for the invariant checker.
     std::string base;
-    std::vector<std::string> overlays;     // Files or folders of them.
-    std::string site;                      // Empty means every site.
-    std::vector<std::string> nodes;        // Admin addresses, "ip:port".
-    std::optional<std::uint64_t> expected; // None means the current one.
-    std::optional<std::uint64_t> from;     // diff.
-    std::optional<std::uint64_t> to;       // diff and rollback.
-    std::uint32_t limit = 20;              // history.
+    std::vector<std::string> overlays;     // Files, or folders with *.toml files.
+    std::string site;                      // Empty: all sites.
+    std::vector<std::string> nodes;        // Admin addresses as ip:port.
+    std::optional<std::uint64_t> expected; // None: the version in force.
+    std::optional<std::uint64_t> from;     // For diff.
+    std::optional<std::uint64_t> to;       // For diff and rollback.
+    std::uint32_t limit = 20;              // For history.
     std::string operatorName;
     PlatformClientSettings platform;
 };
 
-// The arguments, or the exit code after help or a mistake has been printed.
+// Parses the command line. Returns an exit code if it printed the help or a usage error.
 std::variant<Arguments, ExitCode> readArguments(int count, char **values);
 
 } // namespace Sagecrank
--- a/Utilities/Ctl/BlockingClient.cpp
+++ b/Utilities/Ctl/BlockingClient.cpp
@@ -1,4 +1,4 @@
-// Waiting for the platform and for nodes: see BlockingClient.h.
+// Implements BlockingClient.h.
 #include <Ctl/BlockingClient.h>
 
 #include <boost/asio/steady_timer.hpp>
@@ -9,8 +9,8 @@
 
 BlockingClient::BlockingClient(const PlatformClientSettings &platformSettings)
     : settings(platformSettings)
-    , platform(this->context, platformSettings)
-    , nodes(this->context, {})
+    , platformClient(this->context, platformSettings)
+    , nodeClient(this->context, {})
 {
 }
 
@@ -34,7 +34,7 @@
                                           "answered status " + std::to_string(response.status)));
             callback(std::move(response.body));
         };
-        this->nodes.send(address, {method, target, {}, ""}, this->settings.requestTimeout, done);
+        this->nodeClient.send(address, {method, target, {}, ""}, this->settings.requestTimeout, done);
     });
 }
 
--- a/Utilities/Ctl/BlockingClient.h
+++ b/Utilities/Ctl/BlockingClient.h
@@ -1,5 +1,4 @@
-// One run's connection to the platform and to nodes. Turns the asynchronous ports into steps that wait, which
-// is all that a command line needs.
+// Blocking access to the platform and to the admin interface of nodes, on top of the asynchronous clients.
 #pragma once
 
 #include <LibNet/HttpClient.h>
@@ -18,23 +17,23 @@
 public:
     explicit BlockingClient(const PlatformClientSettings &settings);
 
-    TablePort table() { return this->platform.tablePort(); }
-    ObjectPort objects() { return this->platform.objectPort(); }
+    TablePort table() { return this->platformClient.tablePort(); }
+    ObjectPort objects() { return this->platformClient.objectPort(); }
     Scheduler scheduler();
 
-    // Starts the step and runs until it has called back.
+    // Starts an asynchronous operation and runs the event loop until its callback has been called.
     template <typename T>
     T wait(const std::function<void(std::function<void(T)>)> &start)
     {
-        std::optional<T> answer;
-        start([&](T given) { answer.emplace(std::move(given)); });
+        std::optional<T> result;
+        start([&](T value) { result.emplace(std::move(value)); });
         this->context.restart();
-        while (!answer && this->context.run_one() > 0) {
+        while (!result && this->context.run_one() > 0) {
         }
-        return std::move(*answer);
+        return std::move(*result);
     }
 
-    // The same for a read, repeated when the platform does not answer.
+    // Like wait(), for a read, which is retried while the platform does not respond.
     template <typename T>
     Result<T> readWithRetries(const std::function<void(std::function<void(Result<T>)>)> &start)
     {
@@ -43,15 +42,15 @@
         });
     }
 
-    // Refused: the node answered with another status than 2xx.
+    // Returns the response body. Fails with Refused if the status is not 2xx.
     Result<std::string> sendNodeRequest(const std::string &address, const std::string &method,
                                         const std::string &target);
 
 private:
     const PlatformClientSettings settings;
     boost::asio::io_context context{1};
-    PlatformClient platform;
-    HttpClient nodes;
+    PlatformClient platformClient;
+    HttpClient nodeClient;
 };
 
 } // namespace Sagecrank
--- a/Utilities/Ctl/Commands.cpp
+++ b/Utilities/Ctl/Commands.cpp
@@ -1,4 +1,4 @@
-// Commands: see Commands.h.
+// Implements Commands.h.
 #include <Ctl/BlockingClient.h>
 #include <Ctl/Commands.h>
 #include <Ctl/Files.h>
@@ -16,7 +16,7 @@
 
 constexpr auto processName = "sagecrankctl";
 
-// 128 random bits: no two publishes of all operators share one.
+// 128 random bits, unique over all operators and publishes.
 std::string makePublishId()
 {
     std::random_device device;
@@ -25,45 +25,46 @@
     return text;
 }
 
-PublishRequest factsOf(const Arguments &arguments)
+PublishRequest makePublishRequest(const Arguments &arguments)
 {
     const auto now = std::chrono::system_clock::now().time_since_epoch();
     const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(now).count();
     return {arguments.expected, makePublishId(), arguments.operatorName, static_cast<std::uint64_t>(seconds)};
 }
 
-void recordReport(const Arguments &arguments, const PublishResult &report)
+void recordResult(const Arguments &arguments, const PublishResult &result)
 {
     HistoryRecorder recorder(processName, arguments.events);
-    if (report.outcome == PublishOutcome::Accepted)
-        recorder.record([&] { return PublishAccepted{report.version, report.publishId}; });
-    else if (report.outcome != PublishOutcome::Unknown)
+    if (result.outcome == PublishOutcome::Accepted)
+        recorder.record([&] { return PublishAccepted{result.version, result.publishId}; });
+    else if (result.outcome != PublishOutcome::Unknown)
         recorder.record([&] {
-            return PublishRefused{report.version, report.publishId, report.winner.publishId};
+            return PublishRefused{result.version, result.publishId, result.winner.publishId};
         });
 }
 
-void logReport(const Arguments &arguments, const PublishResult &report)
+void logResult(const Arguments &arguments, const PublishResult &result)
 {
     EventLog log(processName, {});
-    const LogField who("operator", arguments.operatorName);
-    const LogField id("publish_id", report.publishId);
-    if (report.outcome == PublishOutcome::Accepted)
-        log.write(EventId::PublishAccepted, {who, id, {"version", report.version}});
-    else if (report.outcome == PublishOutcome::Conflict)
-        log.write(
-            EventId::PublishRefused,
-            {who, id, {"winner", report.winner.version}, {"winner_operator", report.winner.operatorName}});
-    else if (report.outcome == PublishOutcome::Unknown)
-        log.write(EventId::PublishUncertain, {who, id, {"version", report.version}});
+    const LogField operatorField("operator", arguments.operatorName);
+    const LogField idField("publish_id", result.publishId);
+    if (result.outcome == PublishOutcome::Accepted)
+        log.write(EventId::PublishAccepted, {operatorField, idField, {"version", result.version}});
+    else if (result.outcome == PublishOutcome::Conflict)
+        log.write(EventId::PublishRefused, {operatorField,
+                                            idField,
+                                            {"winner", result.winner.version},
+                                            {"winner_operator", result.winner.operatorName}});
+    else if (result.outcome == PublishOutcome::Unknown)
+        log.write(EventId::PublishUncertain, {operatorField, idField, {"version", result.version}});
 }
 
-ExitCode finish(const Arguments &arguments, const Printer &printer, const PublishResult &report)
+ExitCode reportResult(const Arguments &arguments, const Printer &printer, const PublishResult &result)
 {
-    recordReport(arguments, report);
-    logReport(arguments, report);
-    printer.publishResult(report);
-    return exitCodeOf(report);
+    recordResult(arguments, result);
+    logResult(arguments, result);
+    printer.publishResult(result);
+    return exitCodeOf(result);
 }
 
 } // namespace
@@ -83,32 +84,32 @@
     }
     BlockingClient client(arguments.platform);
     const Publisher publisher(client.table(), client.objects(), client.scheduler());
-    const auto report = client.wait<PublishResult>([&](const PublishCallback &callback) {
-        publisher.publish(std::move(rendered.sites), factsOf(arguments), callback);
+    const auto result = client.wait<PublishResult>([&](const PublishCallback &callback) {
+        publisher.publish(std::move(rendered.sites), makePublishRequest(arguments), callback);
     });
-    return finish(arguments, printer, report);
+    return reportResult(arguments, printer, result);
 }
 
 ExitCode rollback(const Arguments &arguments, const Printer &printer)
 {
     BlockingClient client(arguments.platform);
     const Publisher publisher(client.table(), client.objects(), client.scheduler());
-    const auto report = client.wait<PublishResult>([&](const PublishCallback &callback) {
-        publisher.rollback(*arguments.to, factsOf(arguments), callback);
+    const auto result = client.wait<PublishResult>([&](const PublishCallback &callback) {
+        publisher.rollback(*arguments.to, makePublishRequest(arguments), callback);
     });
-    return finish(arguments, printer, report);
+    return reportResult(arguments, printer, result);
 }
 
 ExitCode drain(const Arguments &arguments, const Printer &printer)
 {
     BlockingClient client(arguments.platform);
     const std::string &node = arguments.nodes.front();
-    const Result<std::string> answer = client.sendNodeRequest(node, "POST", "/v1/drain");
-    if (!answer) {
-        printer.error(answer.error());
-        return exitCodeOf(answer.error());
+    const Result<std::string> response = client.sendNodeRequest(node, "POST", "/v1/drain");
+    if (!response) {
+        printer.error(response.error());
+        return exitCodeOf(response.error());
     }
-    printer.drainStarted(node, answer.value());
+    printer.drainStarted(node, response.value());
     return ExitCode::Success;
 }
 
--- a/Utilities/Ctl/Commands.h
+++ b/Utilities/Ctl/Commands.h
@@ -1,4 +1,4 @@
-// The actions of sagecrankctl that change what is in force, or a node.
+// The actions of sagecrankctl that change the configuration in force or the state of a node.
 #pragma once
 
 #include <Ctl/Arguments.h>
--- a/Utilities/Ctl/Content.cpp
+++ b/Utilities/Ctl/Content.cpp
@@ -1,4 +1,4 @@
-// Reading and comparing of versions: see Content.h.
+// Implements Content.h.
 #include <Ctl/Content.h>
 #include <LibConfig/Assemble.h>
 
@@ -8,7 +8,7 @@
 
 namespace {
 
-using Lines = std::map<std::string, std::string>; // What it is, to its description.
+using Lines = std::map<std::string, std::string>; // Item, such as "route reserve", to its description.
 
 std::string join(const std::vector<std::string> &parts)
 {
@@ -18,7 +18,7 @@
     return all;
 }
 
-Lines linesOf(const RenderedSite &site)
+Lines describeSite(const RenderedSite &site)
 {
     Lines lines;
     if (const std::string limits = describeLimits(site.limits); !limits.empty())
@@ -31,43 +31,43 @@
     return lines;
 }
 
-std::map<std::string, Lines> bySite(const std::vector<RenderedSite> &sites)
+std::map<std::string, Lines> describeSites(const std::vector<RenderedSite> &sites)
 {
     std::map<std::string, Lines> all;
     for (const RenderedSite &site : sites)
-        all.emplace(site.site, linesOf(site));
+        all.emplace(site.site, describeSite(site));
     return all;
 }
 
 void compareLines(const std::string &site, const Lines &before, const Lines &after,
                   std::vector<Change> &changes)
 {
-    for (const auto &[what, line] : before) {
-        const auto found = after.find(what);
+    for (const auto &[item, line] : before) {
+        const auto found = after.find(item);
         if (found == after.end())
-            changes.push_back({ChangeKind::Removed, site, what, line, ""});
+            changes.push_back({ChangeKind::Removed, site, item, line, ""});
         else if (found->second != line)
-            changes.push_back({ChangeKind::Changed, site, what, line, found->second});
+            changes.push_back({ChangeKind::Changed, site, item, line, found->second});
     }
-    for (const auto &[what, line] : after) {
-        if (before.count(what) == 0)
-            changes.push_back({ChangeKind::Added, site, what, "", line});
+    for (const auto &[item, line] : after) {
+        if (before.count(item) == 0)
+            changes.push_back({ChangeKind::Added, site, item, "", line});
     }
 }
 
 Result<SiteConfiguration> readSite(BlockingClient &client, const VersionManifest &manifest,
-                                   const std::string &name, SectionBytes &known)
+                                   const std::string &name, SectionBytes &sectionBytes)
 {
     const VersionReader reader(client.objects());
     const SiteManifest site = TRY(client.readWithRetries<SiteManifest>(
         [&](auto callback) { reader.site(manifest, name, std::move(callback)); }));
     for (const SectionReference &section : site.sections) {
-        if (known.count(section.digest) != 0)
+        if (sectionBytes.count(section.digest) != 0)
             continue;
-        known[section.digest] = TRY(client.readWithRetries<ObjectBytes>(
+        sectionBytes[section.digest] = TRY(client.readWithRetries<ObjectBytes>(
             [&](auto callback) { reader.section(section.digest, std::move(callback)); }));
     }
-    return assemble(site, known);
+    return assemble(site, sectionBytes);
 }
 
 } // namespace
@@ -80,9 +80,9 @@
     const VersionReader reader(client.objects());
     const VersionManifest manifest = TRY(client.readWithRetries<VersionManifest>(
         [&](auto callback) { reader.manifest(head, std::move(callback)); }));
-    SectionBytes known;
+    SectionBytes sectionBytes;
     for (const VersionManifest::SiteReference &reference : manifest.sites) {
-        SiteConfiguration site = TRY(readSite(client, manifest, reference.site, known));
+        SiteConfiguration site = TRY(readSite(client, manifest, reference.site, sectionBytes));
         sites.push_back({reference.site, std::move(site.sections), site.manifest.limits});
     }
     return sites;
@@ -103,18 +103,18 @@
                                    const std::vector<RenderedSite> &after)
 {
     std::vector<Change> changes;
-    const auto old = bySite(before);
-    const auto next = bySite(after);
-    for (const auto &[site, lines] : old) {
-        const auto found = next.find(site);
-        if (found == next.end())
+    const auto oldSites = describeSites(before);
+    const auto newSites = describeSites(after);
+    for (const auto &[site, lines] : oldSites) {
+        const auto found = newSites.find(site);
+        if (found == newSites.end())
             changes.push_back(
                 {ChangeKind::Removed, site, "site", std::to_string(lines.size()) + " lines", ""});
         else
             compareLines(site, lines, found->second, changes);
     }
-    for (const auto &[site, lines] : next) {
-        if (old.count(site) == 0)
+    for (const auto &[site, lines] : newSites) {
+        if (oldSites.count(site) == 0)
             changes.push_back({ChangeKind::Added, site, "site", "", std::to_string(lines.size()) + " lines"});
     }
     return changes;
--- a/Utilities/Ctl/Content.h
+++ b/Utilities/Ctl/Content.h
@@ -1,4 +1,4 @@
-// The content of a published version, and how two contents differ.
+// Reads the content of a published version, and computes the differences between two contents.
 #pragma once
 
 #include <Ctl/BlockingClient.h>
@@ -10,10 +10,10 @@
 
 namespace Sagecrank {
 
-// Reads every site of the version, digests checked.
+// Reads all sites of the version and checks the digests of the objects.
 Result<std::vector<RenderedSite>> readVersionContent(BlockingClient &client, const Head &head);
 
-// The head of an accepted version by its number, out of the history.
+// Builds the head of an accepted version from its history row. NotFound if there is none.
 Result<Head> readHeadOfVersion(BlockingClient &client, std::uint64_t version);
 
 enum class ChangeKind : std::uint8_t { Added, Removed, Changed };
@@ -35,13 +35,13 @@
     bool operator==(const Change &) const = default;
 };
 
-// In the order of sites and names.
+// Returns the differences: first those of the sites in `before`, then the added sites; each by name.
 std::vector<Change> compareContent(const std::vector<RenderedSite> &before,
                                    const std::vector<RenderedSite> &after);
 
-// One line, as it stands in `before` and `after`.
+// Formats a route on one line, as in Change::before and Change::after.
 std::string describeRoute(const Route &route, const std::string &cluster);
-// Only what is stated; empty when nothing is.
+// Formats the limits that are set; empty if none is.
 std::string describeLimits(const CallerLimits &limits);
 
 } // namespace Sagecrank
--- a/Utilities/Ctl/ExitCode.cpp
+++ b/Utilities/Ctl/ExitCode.cpp
@@ -1,4 +1,4 @@
-// Exit codes from errors and reports: see ExitCode.h.
+// Implements ExitCode.h.
 #include <Ctl/ExitCode.h>
 
 namespace Sagecrank {
@@ -15,7 +15,7 @@
         return ExitCode::Conflict;
     case ErrorKind::Unavailable:
     case ErrorKind::Refused:
-    case ErrorKind::Timeout: // Of a read or an object; the writes that matter report themselves.
+    case ErrorKind::Timeout: // Of a read or an object; head writes report PublishOutcome::Unknown.
         return ExitCode::Unavailable;
     case ErrorKind::Internal:
         break;
@@ -23,9 +23,9 @@
     return ExitCode::Internal;
 }
 
-ExitCode exitCodeOf(const PublishResult &report)
+ExitCode exitCodeOf(const PublishResult &result)
 {
-    switch (report.outcome) {
+    switch (result.outcome) {
     case PublishOutcome::Accepted:
         return ExitCode::Success;
     case PublishOutcome::Conflict:
@@ -35,7 +35,7 @@
     case PublishOutcome::Failed:
         break;
     }
-    return exitCodeOf(report.error);
+    return exitCodeOf(result.error);
 }
 
 std::string exitCodeHelp()
--- a/Utilities/Ctl/ExitCode.h
+++ b/Utilities/Ctl/ExitCode.h
@@ -1,4 +1,4 @@
-// How sagecrankctl ends, for scripts. The numbers are part of its interface and never change their meaning.
+// Exit codes of sagecrankctl. Scripts depend on the numbers, so their meaning never changes.
 #pragma once
 
 #include <LibCore/EnumNames.h>
@@ -47,9 +47,9 @@
 }};
 
 ExitCode exitCodeOf(const Error &error);
-ExitCode exitCodeOf(const PublishResult &report);
+ExitCode exitCodeOf(const PublishResult &result);
 
-// The table for --help.
+// Returns the table of exit codes for --help.
 std::string exitCodeHelp();
 
 } // namespace Sagecrank
--- a/Utilities/Ctl/Files.cpp
+++ b/Utilities/Ctl/Files.cpp
@@ -1,4 +1,4 @@
-// Reading of base file and overlays: see Files.h.
+// Implements Files.h.
 #include <Ctl/Files.h>
 
 #include <algorithm>
@@ -22,7 +22,7 @@
     return SourceFile{name, text.str()};
 }
 
-Result<std::vector<std::string>> filesAt(const std::string &path)
+Result<std::vector<std::string>> listSourceFiles(const std::string &path)
 {
     std::error_code error;
     if (!fs::is_directory(path, error))
@@ -45,7 +45,7 @@
     LocalFiles files;
     files.base = TRY(readFile(arguments.base));
     for (const std::string &path : arguments.overlays) {
-        for (const std::string &name : TRY(filesAt(path)))
+        for (const std::string &name : TRY(listSourceFiles(path)))
             files.overlays.push_back(TRY(readFile(name)));
     }
     return files;
--- a/Utilities/Ctl/Files.h
+++ b/Utilities/Ctl/Files.h
@@ -1,4 +1,5 @@
-// Reads the operator's files from disk. The only place of the operator's side that does.
+// Reads the operator's configuration files from disk. Only this file of sagecrankctl accesses the file
+// system.
 #pragma once
 
 #include <Ctl/Arguments.h>
@@ -13,7 +14,7 @@
     std::vector<SourceFile> overlays; // Sorted by name within a folder.
 };
 
-// NotFound names the file or folder that cannot be read.
+// Fails with NotFound, which names the file or folder, if one cannot be read.
 Result<LocalFiles> readLocalFiles(const Arguments &arguments);
 
 } // namespace Sagecrank
--- a/Utilities/Ctl/Main.cpp
+++ b/Utilities/Ctl/Main.cpp
@@ -1,4 +1,4 @@
-// sagecrankctl: the operator's command line.
+// sagecrankctl: the command line tool of operators.
 #include <Ctl/Arguments.h>
 #include <Ctl/Commands.h>
 #include <Ctl/Print.h>
@@ -10,7 +10,7 @@
 
 namespace {
 
-ExitCode perform(const Arguments &arguments, const Printer &printer)
+ExitCode runAction(const Arguments &arguments, const Printer &printer)
 {
     switch (arguments.action) {
     case Action::Validate:
@@ -40,7 +40,7 @@
     const auto arguments = readArguments(count, values);
     if (const auto *code = std::get_if<ExitCode>(&arguments))
         return static_cast<int>(*code);
-    const auto &asked = std::get<Arguments>(arguments);
-    const Printer printer(std::cout, std::cerr, asked.json);
-    return static_cast<int>(perform(asked, printer));
+    const auto &parsed = std::get<Arguments>(arguments);
+    const Printer printer(std::cout, std::cerr, parsed.json);
+    return static_cast<int>(runAction(parsed, printer));
 }
--- a/Utilities/Ctl/Print.cpp
+++ b/Utilities/Ctl/Print.cpp
@@ -1,4 +1,4 @@
-// Text and JSON for operators: see Print.h.
+// Implements Print.h.
 #include <Ctl/Print.h>
 
 #include <boost/json.hpp>
@@ -11,7 +11,7 @@
 
 namespace {
 
-std::string timeText(std::uint64_t seconds)
+std::string formatTime(std::uint64_t seconds)
 {
     const auto time = static_cast<std::time_t>(seconds);
     std::tm parts{};
@@ -21,7 +21,7 @@
     return text;
 }
 
-json::array textArray(const std::vector<std::string> &texts)
+json::array stringArray(const std::vector<std::string> &texts)
 {
     return json::array(texts.begin(), texts.end());
 }
@@ -33,7 +33,7 @@
         split[part.cluster] = part.weight;
     return {{"name", route.name},
             {"prefix", route.prefix},
-            {"methods", textArray(route.methods)},
+            {"methods", stringArray(route.methods)},
             {"class", callClassNames.name(route.callClass)},
             {"idempotent", route.idempotent},
             {"timeout_ms", route.timeout.count()},
@@ -45,7 +45,7 @@
             {"split", std::move(split)}};
 }
 
-// Zero: the node's own settings hold.
+// Zero: the node's own setting applies.
 json::object limitsJson(const CallerLimits &limits)
 {
     return {{"maximum_header_bytes", limits.headerBytes},
@@ -68,27 +68,27 @@
     return {{"site", site.site}, {"callers", limitsJson(site.limits)}, {"clusters", std::move(clusters)}};
 }
 
-json::object entryJson(const HistoryEntry &entry)
+json::object historyEntryJson(const HistoryEntry &entry)
 {
     json::object object{{"version", entry.version},
                         {"digest", toHex(entry.digest)},
                         {"publish_id", entry.publishId},
                         {"operator", entry.operatorName},
-                        {"accepted_at", timeText(entry.acceptedAt)}};
+                        {"accepted_at", formatTime(entry.acceptedAt)}};
     if (entry.rolledBackTo != 0)
         object["rolled_back_to"] = entry.rolledBackTo;
     return object;
 }
 
-// The node's answer as an object; one that does not parse is shown as it is.
-json::value nodeJson(const std::string &status)
+// Parses the node's response; returns the raw text if it is not JSON.
+json::value nodeJson(const std::string &response)
 {
     json::error_code error;
-    json::value value = json::parse(status, error);
-    return error ? json::value(status) : value;
+    json::value value = json::parse(response, error);
+    return error ? json::value(response) : value;
 }
 
-std::string memberText(const json::value &node, const char *name)
+std::string formatMember(const json::value &node, const char *name)
 {
     const json::value *value = node.is_object() ? node.as_object().if_contains(name) : nullptr;
     if (value == nullptr)
@@ -96,34 +96,34 @@
     return value->is_string() ? std::string(value->as_string().c_str()) : json::serialize(*value);
 }
 
-std::string winnerText(const HistoryEntry &winner)
+std::string formatWinner(const HistoryEntry &winner)
 {
     std::string text = "version " + std::to_string(winner.version);
     if (!winner.operatorName.empty())
-        text += " by " + winner.operatorName + " at " + timeText(winner.acceptedAt) + " (publish id "
+        text += " by " + winner.operatorName + " at " + formatTime(winner.acceptedAt) + " (publish id "
                 + winner.publishId + ")";
     return text;
 }
 
-std::string reportText(const PublishResult &report)
+std::string formatPublishResult(const PublishResult &result)
 {
-    switch (report.outcome) {
+    switch (result.outcome) {
     case PublishOutcome::Accepted:
-        return "accepted: version " + std::to_string(report.version) + " (publish id " + report.publishId
+        return "accepted: version " + std::to_string(result.version) + " (publish id " + result.publishId
                + ")";
     case PublishOutcome::Conflict:
-        return "conflict: " + winnerText(report.winner)
+        return "conflict: " + formatWinner(result.winner)
                + " was accepted first. Nothing was published. Run diff, merge, and publish again with "
                  "--expect "
-               + std::to_string(report.winner.version);
+               + std::to_string(result.winner.version);
     case PublishOutcome::Unknown:
-        return "unknown: no answer to the write of version " + std::to_string(report.version)
+        return "unknown: no answer to the write of version " + std::to_string(result.version)
                + ", and it may still take effect. It was accepted if history shows publish id "
-               + report.publishId + ". Last error: " + report.error.describe();
+               + result.publishId + ". Last error: " + result.error.describe();
     case PublishOutcome::Failed:
         break;
     }
-    return "failed: nothing took effect: " + report.error.describe();
+    return "failed: nothing took effect: " + result.error.describe();
 }
 
 } // namespace
@@ -251,10 +251,10 @@
         const json::object &node = entry.as_object();
         this->out << "  " << node.at("address").as_string().c_str() << ": ";
         if (const json::value *status = node.if_contains("status"))
-            this->out << memberText(*status, "id") << " zone=" << memberText(*status, "zone")
-                      << " version=" << memberText(*status, "version")
-                      << " ready=" << memberText(*status, "ready")
-                      << " upstream=" << memberText(*status, "upstream") << "\n";
+            this->out << formatMember(*status, "id") << " zone=" << formatMember(*status, "zone")
+                      << " version=" << formatMember(*status, "version")
+                      << " ready=" << formatMember(*status, "ready")
+                      << " upstream=" << formatMember(*status, "upstream") << "\n";
         else
             this->out << node.at("error").as_string().c_str() << "\n";
     }
@@ -265,12 +265,12 @@
     if (this->json) {
         json::array all;
         for (const HistoryEntry &entry : entries)
-            all.emplace_back(entryJson(entry));
+            all.emplace_back(historyEntryJson(entry));
         this->out << json::object{{"history", std::move(all)}} << "\n";
         return;
     }
     for (const HistoryEntry &entry : entries) {
-        this->out << entry.version << "  " << timeText(entry.acceptedAt) << "  " << entry.operatorName
+        this->out << entry.version << "  " << formatTime(entry.acceptedAt) << "  " << entry.operatorName
                   << "  publish id " << entry.publishId;
         if (entry.rolledBackTo != 0)
             this->out << "  back to the content of " << entry.rolledBackTo;
@@ -278,29 +278,29 @@
     }
 }
 
-void Printer::publishResult(const PublishResult &report) const
+void Printer::publishResult(const PublishResult &result) const
 {
     if (!this->json) {
-        std::ostream &stream = report.outcome == PublishOutcome::Accepted ? this->out : this->errors;
-        stream << reportText(report) << "\n";
+        std::ostream &stream = result.outcome == PublishOutcome::Accepted ? this->out : this->errors;
+        stream << formatPublishResult(result) << "\n";
         return;
     }
-    json::object object{{"verdict", publishOutcomeNames.name(report.outcome)},
-                        {"version", report.version},
-                        {"publish_id", report.publishId}};
-    if (report.outcome == PublishOutcome::Conflict)
-        object["winner"] = entryJson(report.winner);
-    if (report.outcome == PublishOutcome::Failed || report.outcome == PublishOutcome::Unknown)
-        object["error"] = report.error.describe();
+    json::object object{{"verdict", publishOutcomeNames.name(result.outcome)},
+                        {"version", result.version},
+                        {"publish_id", result.publishId}};
+    if (result.outcome == PublishOutcome::Conflict)
+        object["winner"] = historyEntryJson(result.winner);
+    if (result.outcome == PublishOutcome::Failed || result.outcome == PublishOutcome::Unknown)
+        object["error"] = result.error.describe();
     this->out << object << "\n";
 }
 
-void Printer::drainStarted(const std::string &node, const std::string &answer) const
+void Printer::drainStarted(const std::string &node, const std::string &response) const
 {
     if (this->json)
-        this->out << json::object{{"node", node}, {"draining", true}, {"answer", nodeJson(answer)}} << "\n";
+        this->out << json::object{{"node", node}, {"draining", true}, {"answer", nodeJson(response)}} << "\n";
     else
-        this->out << node << ": draining, " << answer << "\n";
+        this->out << node << ": draining, " << response << "\n";
 }
 
 } // namespace Sagecrank
--- a/Utilities/Ctl/Print.h
+++ b/Utilities/Ctl/Print.h
@@ -1,4 +1,4 @@
-// What the operator sees, as text or as one JSON object.
+// Prints results and errors for the operator, as text or as one JSON object.
 #pragma once
 
 #include <Ctl/Arguments.h>
@@ -15,7 +15,7 @@
 struct NodeStatus
 {
     std::string address;
-    Result<std::string> status; // The node's own JSON.
+    Result<std::string> status; // The JSON body of the node's /status.
 };
 
 class Printer
@@ -35,12 +35,12 @@
     void changes(const std::vector<Change> &changes) const;
     void status(const Head &head, const std::vector<NodeStatus> &nodes) const;
     void history(const std::vector<HistoryEntry> &entries) const;
-    void publishResult(const PublishResult &report) const;
-    void drainStarted(const std::string &node, const std::string &answer) const;
+    void publishResult(const PublishResult &result) const;
+    void drainStarted(const std::string &node, const std::string &response) const;
 
 private:
     std::ostream &out;
-    std::ostream &errors; // Text only; JSON always goes to `out`, so that a script reads one stream.
+    std::ostream &errors; // For text; JSON always goes to `out`, so that scripts read one stream.
     const bool json;
 };
 
--- a/Utilities/Ctl/Queries.cpp
+++ b/Utilities/Ctl/Queries.cpp
@@ -1,4 +1,4 @@
-// Queries: see Queries.h.
+// Implements Queries.h.
 #include <Ctl/BlockingClient.h>
 #include <Ctl/Content.h>
 #include <Ctl/Files.h>
@@ -10,18 +10,18 @@
 
 namespace {
 
-ExitCode fail(const Printer &printer, const Error &error)
+ExitCode printError(const Printer &printer, const Error &error)
 {
     printer.error(error);
     return exitCodeOf(error);
 }
 
-// Renders the local files, or prints what is wrong with them.
+// Renders the local files. On failure, prints the errors and sets `code`.
 std::optional<RenderResult> renderLocal(const Arguments &arguments, const Printer &printer, ExitCode &code)
 {
     const Result<LocalFiles> files = readLocalFiles(arguments);
     if (!files) {
-        code = fail(printer, files.error());
+        code = printError(printer, files.error());
         return std::nullopt;
     }
     RenderResult result = renderSites(files.value().base, files.value().overlays);
@@ -38,13 +38,14 @@
     return client.readWithRetries<Head>([&](auto callback) { reader.read(std::move(callback)); });
 }
 
-Result<std::vector<RenderedSite>> readVersion(BlockingClient &client, std::optional<std::uint64_t> version)
+Result<std::vector<RenderedSite>> readVersionOrCurrent(BlockingClient &client,
+                                                       std::optional<std::uint64_t> version)
 {
     const Head head = version ? TRY(readHeadOfVersion(client, *version)) : TRY(readHead(client));
     return readVersionContent(client, head);
 }
 
-void keepOnly(const std::string &site, std::vector<RenderedSite> &sites)
+void filterSites(const std::string &site, std::vector<RenderedSite> &sites)
 {
     if (!site.empty())
         std::erase_if(sites, [&](const RenderedSite &each) { return each.site != site; });
@@ -67,9 +68,9 @@
     auto result = renderLocal(arguments, printer, code);
     if (!result)
         return code;
-    keepOnly(arguments.site, result->sites);
+    filterSites(arguments.site, result->sites);
     if (result->sites.empty())
-        return fail(printer, makeError(ErrorKind::NotFound, "render", arguments.site, "no such site"));
+        return printError(printer, makeError(ErrorKind::NotFound, "render", arguments.site, "no such site"));
     printer.sites(result->sites);
     return code;
 }
@@ -78,9 +79,9 @@
 {
     ExitCode code = ExitCode::Success;
     BlockingClient client(arguments.platform);
-    Result<std::vector<RenderedSite>> before = readVersion(client, arguments.from);
+    Result<std::vector<RenderedSite>> before = readVersionOrCurrent(client, arguments.from);
     if (!before)
-        return fail(printer, before.error());
+        return printError(printer, before.error());
     std::vector<RenderedSite> after;
     if (!arguments.base.empty()) {
         auto local = renderLocal(arguments, printer, code);
@@ -88,13 +89,13 @@
             return code;
         after = std::move(local->sites);
     } else {
-        Result<std::vector<RenderedSite>> newer = readVersion(client, arguments.to);
+        Result<std::vector<RenderedSite>> newer = readVersionOrCurrent(client, arguments.to);
         if (!newer)
-            return fail(printer, newer.error());
+            return printError(printer, newer.error());
         after = std::move(newer.value());
     }
-    keepOnly(arguments.site, before.value());
-    keepOnly(arguments.site, after);
+    filterSites(arguments.site, before.value());
+    filterSites(arguments.site, after);
     const std::vector<Change> changes = compareContent(before.value(), after);
     printer.changes(changes);
     return changes.empty() ? ExitCode::Success : ExitCode::Differs;
@@ -105,14 +106,14 @@
     BlockingClient client(arguments.platform);
     const Result<Head> head = readHead(client);
     if (!head)
-        return fail(printer, head.error());
+        return printError(printer, head.error());
     std::vector<NodeStatus> nodes;
     for (const std::string &address : arguments.nodes)
         nodes.push_back({address, client.sendNodeRequest(address, "GET", "/status")});
     printer.status(head.value(), nodes);
-    const bool allAnswered = std::all_of(nodes.begin(), nodes.end(),
-                                         [](const NodeStatus &node) { return node.status.has_value(); });
-    return allAnswered ? ExitCode::Success : ExitCode::Unavailable;
+    const bool allResponded = std::all_of(nodes.begin(), nodes.end(),
+                                          [](const NodeStatus &node) { return node.status.has_value(); });
+    return allResponded ? ExitCode::Success : ExitCode::Unavailable;
 }
 
 ExitCode history(const Arguments &arguments, const Printer &printer)
@@ -122,7 +123,7 @@
     const auto entries = client.readWithRetries<std::vector<HistoryEntry>>(
         [&](auto callback) { reader.history(arguments.limit, std::move(callback)); });
     if (!entries)
-        return fail(printer, entries.error());
+        return printError(printer, entries.error());
     printer.history(entries.value());
     return ExitCode::Success;
 }
--- a/Utilities/Ctl/Queries.h
+++ b/Utilities/Ctl/Queries.h
@@ -1,4 +1,4 @@
-// The actions of sagecrankctl that change nothing.
+// The read-only actions of sagecrankctl.
 #pragma once
 
 #include <Ctl/Arguments.h>
