--- a/Tests/Load/TestLoad.cpp
+++ b/Tests/Load/TestLoad.cpp
@@ -1,10 +1,10 @@
 // The arithmetic that the measurements stand on: arrivals that keep their rate, quantiles, choices in
 // proportion, and answers read whole from any cut of their bytes.
-#include <Load/AnswerReader.h>
-#include <Load/Latencies.h>
+#include <Load/LatencyHistogram.h>
+#include <Load/LoadStatistics.h>
 #include <Load/Mix.h>
+#include <Load/ResponseReader.h>
 #include <Load/Schedule.h>
-#include <Load/Tally.h>
 
 #include <Support/TableTest.h>
 
--- a/Utilities/Load/Generator.h
+++ b/Utilities/Load/Generator.h
@@ -3,8 +3,8 @@
 #pragma once
 
 #include <Load/LoadConnection.h>
+#include <Load/LoadStatistics.h>
 #include <Load/Settings.h>
-#include <Load/Tally.h>
 
 #include <LibHistory/HistoryRecorder.h>
 
--- a/Utilities/Load/Latencies.cpp
+++ b/Utilities/Load/LatencyHistogram.cpp
@@ -1,5 +1,5 @@
 // Recording and quantiles.
-#include <Load/Latencies.h>
+#include <Load/LatencyHistogram.h>
 
 #include <algorithm>
 #include <cmath>
--- a/Utilities/Load/LoadConnection.h
+++ b/Utilities/Load/LoadConnection.h
@@ -2,7 +2,7 @@
 // to send and is not open.
 #pragma once
 
-#include <Load/AnswerReader.h>
+#include <Load/ResponseReader.h>
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
--- a/Utilities/Load/Tally.cpp
+++ b/Utilities/Load/LoadStatistics.cpp
@@ -1,5 +1,5 @@
 // Adding up and judging.
-#include <Load/Tally.h>
+#include <Load/LoadStatistics.h>
 
 namespace Sagecrank {
 
--- a/Utilities/Load/Tally.h
+++ b/Utilities/Load/LoadStatistics.h
@@ -2,9 +2,9 @@
 // kind of call.
 #pragma once
 
-#include <Load/AnswerReader.h>
-#include <Load/Latencies.h>
+#include <Load/LatencyHistogram.h>
 #include <Load/Mix.h>
+#include <Load/ResponseReader.h>
 
 #include <LibCore/EnumNames.h>
 
--- a/Utilities/Load/Report.h
+++ b/Utilities/Load/Report.h
@@ -1,8 +1,8 @@
 // The result of a run as text for people and as JSON.
 #pragma once
 
+#include <Load/LoadStatistics.h>
 #include <Load/Settings.h>
-#include <Load/Tally.h>
 
 #include <string>
 
--- a/Utilities/Load/AnswerReader.cpp
+++ b/Utilities/Load/ResponseReader.cpp
@@ -1,5 +1,5 @@
 // A Beast parser that picks out fields as they pass instead of storing them all.
-#include <Load/AnswerReader.h>
+#include <Load/ResponseReader.h>
 
 #include <boost/beast/http/basic_parser.hpp>
 
