--- a/Tests/Load/TestLoad.cpp
+++ b/Tests/Load/TestLoad.cpp
@@ -93,8 +93,8 @@
 {
     std::mt19937_64 random(1);
     const WeightedChoice weighted({3, 1});
-    const SkewedChoice even(4, 0);
-    const SkewedChoice skewed(4, 1);
+    const ZipfChoice even(4, 0);
+    const ZipfChoice skewed(4, 1);
     int first[3] = {};
     for (int count = 0; count < 100'000; ++count) {
         first[0] += weighted.draw(random) == 0 ? 1 : 0;
@@ -108,7 +108,7 @@
 
 Test(latencies, quantilesOfAKnownSample)
 {
-    Latencies latencies;
+    LatencyHistogram latencies;
     for (int microseconds = 1; microseconds <= 10'000; ++microseconds)
         latencies.record(Microseconds(microseconds));
     const auto near = [&](double share, double microseconds) {
@@ -120,15 +120,15 @@
 
 Test(latencies, mergingIsCountingTogether)
 {
-    Latencies left;
-    Latencies right;
+    LatencyHistogram left;
+    LatencyHistogram right;
     left.record(Microseconds(10));
     right.record(Microseconds(1000));
     right.record(Duration(-5));
     left.merge(right);
     cr_assert(left.count() == 3);
     cr_assert(left.quantile(0) == Duration(0), "a clock that seems to go back counts as no time");
-    cr_assert(Latencies().quantile(0.99) == Duration(0));
+    cr_assert(LatencyHistogram().quantile(0.99) == Duration(0));
 }
 
 TABLE_TEST(mix, entries, mixRows)
@@ -143,36 +143,36 @@
     cr_assert(mix.error().peer == "mix.txt:4", "%s", mix.error().peer.c_str());
 }
 
-TABLE_TEST(tally, outcomes, outcomeRows)
+TABLE_TEST(statistics, outcomes, outcomeRows)
 {
-    Answer answer;
-    answer.status = row.status;
-    answer.outcome = row.header;
-    cr_assert(judgeAnswer(answer) == row.outcome);
+    Response response;
+    response.status = row.status;
+    response.outcome = row.header;
+    cr_assert(classifyResponse(response) == row.outcome);
 }
 
 Test(answerReader, readsAnswersFromAnyCut)
 {
-    AnswerReader reader;
+    ResponseReader reader;
     for (const std::string_view text : {wholeAnswer, chunkedAnswer}) {
         for (std::size_t first = 1; first < text.size(); ++first) {
             reader.reset();
-            cr_assert(reader.take(text.substr(0, first)) == ReadProgress::Incomplete, "cut at %zu", first);
-            cr_assert(reader.take(text.substr(first)) == ReadProgress::Complete, "cut at %zu", first);
-            cr_assert(reader.answer().body == "hello");
-            cr_assert(reader.answer().replayed == (text == chunkedAnswer));
+            cr_assert(reader.feed(text.substr(0, first)) == ReadProgress::Incomplete, "cut at %zu", first);
+            cr_assert(reader.feed(text.substr(first)) == ReadProgress::Complete, "cut at %zu", first);
+            cr_assert(reader.response().body == "hello");
+            cr_assert(reader.response().replayed == (text == chunkedAnswer));
         }
     }
     reader.reset();
-    cr_assert(reader.take(wholeAnswer) == ReadProgress::Complete);
-    cr_assert(reader.answer().status == 503 && reader.answer().outcome == "not-run");
-    cr_assert(reader.answer().reason == "queue_full" && reader.answer().retryAfterMilliseconds == 120);
+    cr_assert(reader.feed(wholeAnswer) == ReadProgress::Complete);
+    cr_assert(reader.response().status == 503 && reader.response().outcome == "not-run");
+    cr_assert(reader.response().reason == "queue_full" && reader.response().retryAfterMilliseconds == 120);
 }
 
 Test(answerReader, whatNobodyAskedForIsMalformed)
 {
-    AnswerReader reader;
-    cr_assert(reader.take(std::string(wholeAnswer) + "HTTP/1.1 200 OK\r\n") == ReadProgress::Malformed);
+    ResponseReader reader;
+    cr_assert(reader.feed(std::string(wholeAnswer) + "HTTP/1.1 200 OK\r\n") == ReadProgress::Malformed);
     reader.reset();
-    cr_assert(reader.take("SSH-2.0-OpenSSH\r\n\r\n") == ReadProgress::Malformed);
+    cr_assert(reader.feed("SSH-2.0-OpenSSH\r\n\r\n") == ReadProgress::Malformed);
 }
--- a/Utilities/Load/Generator.cpp
+++ b/Utilities/Load/Generator.cpp
@@ -70,23 +70,23 @@
 {
     this->targetChoice.emplace_back(std::max<std::size_t>(settings.targets.size(), 1), settings.skew);
     this->targetChoice.emplace_back(std::max<std::size_t>(settings.direct.size(), 1), settings.skew);
-    this->buildTargets(Way::Through, settings.targets);
-    this->buildTargets(Way::Direct, settings.direct);
+    this->buildTargets(TrafficPath::ThroughNode, settings.targets);
+    this->buildTargets(TrafficPath::Direct, settings.direct);
 }
 
 Generator::~Generator()
 {
-    for (std::vector<Target> &way : this->targets) {
-        for (Target &target : way) {
+    for (std::vector<Target> &pathTargets : this->targets) {
+        for (Target &target : pathTargets) {
             for (const auto &connection : target.connections)
                 connection->close();
         }
     }
 }
 
-void Generator::buildTargets(Way way, const std::vector<std::string> &addresses)
+void Generator::buildTargets(TrafficPath trafficPath, const std::vector<std::string> &addresses)
 {
-    std::vector<Target> &list = this->targets[static_cast<std::size_t>(way)];
+    std::vector<Target> &list = this->targets[static_cast<std::size_t>(trafficPath)];
     list.resize(addresses.size());
     const std::size_t share = this->settings.connections / this->settings.threads;
     for (std::size_t at = 0; at < addresses.size(); ++at) {
@@ -97,12 +97,13 @@
         for (std::size_t number = 0; number < count; ++number) {
             target.connections.push_back(std::make_shared<LoadConnection>(
                 this->context, target.endpoint,
-                LoadConnection::Hooks{[this, &target](LoadConnection &connection, const Answer &answer) {
-                                          this->answered(target, connection, answer);
-                                      },
-                                      [this, &target](LoadConnection &connection, const std::string &reason) {
-                                          this->broken(target, connection, reason);
-                                      }}));
+                LoadConnection::Callbacks{
+                    [this, &target](LoadConnection &connection, const Response &response) {
+                        this->onResponse(target, connection, response);
+                    },
+                    [this, &target](LoadConnection &connection, const std::string &reason) {
+                        this->onFailure(target, connection, reason);
+                    }}));
             target.idle.push_back(target.connections.back().get());
         }
     }
@@ -120,17 +121,17 @@
     while (true) {
         const Instant now = SteadyClock::now();
         if (this->nextDue < lastStart)
-            this->launchDue(std::min(now, lastStart));
+            this->startDueCalls(std::min(now, lastStart));
         else if (this->active == 0)
             break;
-        this->retryDue(now);
+        this->startDueRetries(now);
         if (now >= this->nextSweep)
-            this->giveUpOverdue(now);
-        this->waitForWork(now);
+            this->failOverdueCalls(now);
+        this->waitForNextEvent(now);
     }
 }
 
-void Generator::waitForWork(Instant now)
+void Generator::waitForNextEvent(Instant now)
 {
     const Instant retry = this->retries.empty() ? now + sweepInterval : this->retries.top().due;
     const Instant due =
@@ -145,15 +146,15 @@
     this->context.poll();
 }
 
-void Generator::launchDue(Instant now)
+void Generator::startDueCalls(Instant now)
 {
     while (this->nextDue <= now) {
-        this->launch(this->nextDue);
+        this->startCall(this->nextDue);
         this->nextDue = this->start + this->schedule.next();
     }
 }
 
-void Generator::launch(Instant intended)
+void Generator::startCall(Instant intended)
 {
     std::size_t slot = 0;
     if (this->freeCalls.empty()) {
@@ -166,9 +167,9 @@
     Call &call = this->calls[slot];
     const bool both = !this->settings.targets.empty() && !this->settings.direct.empty();
     const bool straight = this->settings.targets.empty() || (both && (this->random() & 1) != 0);
-    call.way = straight ? Way::Direct : Way::Through;
+    call.trafficPath = straight ? TrafficPath::Direct : TrafficPath::ThroughNode;
     call.kind = this->kinds.draw(this->random);
-    call.target = this->targetChoice[static_cast<std::size_t>(call.way)].draw(this->random);
+    call.target = this->targetChoice[static_cast<std::size_t>(call.trafficPath)].draw(this->random);
     call.intended = intended;
     call.retriesLeft = this->settings.retries;
     call.counted = intended - this->start >= std::chrono::duration<double>(this->settings.warmupSeconds);
@@ -184,18 +185,18 @@
                    + std::to_string(this->numbered);
     if (this->active > maximumActive)
         return this->finish(slot, FinalOutcome::Unsent, "too many calls wait for a connection", false);
-    this->attempt(slot);
+    this->startAttempt(slot);
 }
 
-void Generator::attempt(std::size_t index)
+void Generator::startAttempt(std::size_t index)
 {
     Call &call = this->calls[index];
     call.callId =
         this->settings.runId + "-" + std::to_string(this->index) + "-" + std::to_string(this->numbered++);
-    this->place(index);
+    this->assignConnection(index);
 }
 
-void Generator::place(std::size_t index)
+void Generator::assignConnection(std::size_t index)
 {
     Target &target = this->targetOf(this->calls[index]);
     if (target.idle.empty()) {
@@ -205,10 +206,10 @@
     }
     LoadConnection *connection = target.idle.back();
     target.idle.pop_back();
-    this->put(*connection, index);
+    this->sendOn(*connection, index);
 }
 
-void Generator::put(LoadConnection &connection, std::size_t index)
+void Generator::sendOn(LoadConnection &connection, std::size_t index)
 {
     Call &call = this->calls[index];
     const bool first = call.retriesLeft == this->settings.retries;
@@ -224,33 +225,33 @@
                                              : std::to_string(this->settings.deadline.count())});
 }
 
-void Generator::answered(Target &target, LoadConnection &connection, const Answer &answer)
+void Generator::onResponse(Target &target, LoadConnection &connection, const Response &response)
 {
     const std::size_t index = connection.call;
     Call &call = this->calls[index];
-    this->recordAnswered(call, answer);
-    FinalOutcome outcome = judgeAnswer(answer);
-    if (outcome == FinalOutcome::Done && this->settings.checkAnswers && !this->belongs(call, answer))
+    this->recordResponse(call, response);
+    FinalOutcome outcome = classifyResponse(response);
+    if (outcome == FinalOutcome::Done && this->settings.checkResponses && !this->matchesCall(call, response))
         outcome = FinalOutcome::Wrong;
-    const std::string reason = answer.reason.empty() && outcome != FinalOutcome::Done
-                                   ? "status " + std::to_string(answer.status)
-                                   : answer.reason;
-    const Milliseconds after(std::max<std::uint64_t>(answer.retryAfterMilliseconds, 1));
-    if (!this->retryLater(index, outcome, outcome == FinalOutcome::NotRun ? after : repeatAfter))
-        this->finish(index, outcome, reason, answer.replayed);
-    this->freed(target, connection);
+    const std::string reason = response.reason.empty() && outcome != FinalOutcome::Done
+                                   ? "status " + std::to_string(response.status)
+                                   : response.reason;
+    const Milliseconds after(std::max<std::uint64_t>(response.retryAfterMilliseconds, 1));
+    if (!this->scheduleRetry(index, outcome, outcome == FinalOutcome::NotRun ? after : repeatAfter))
+        this->finish(index, outcome, reason, response.replayed);
+    this->releaseConnection(target, connection);
 }
 
-void Generator::broken(Target &target, LoadConnection &connection, const std::string &reason)
+void Generator::onFailure(Target &target, LoadConnection &connection, const std::string &reason)
 {
     const std::size_t index = connection.call;
     this->history.record([&] { return CallerLost{this->calls[index].callId, reason}; });
-    if (!this->retryLater(index, FinalOutcome::Broken, repeatAfter))
+    if (!this->scheduleRetry(index, FinalOutcome::Broken, repeatAfter))
         this->finish(index, FinalOutcome::Broken, reason, false);
-    this->freed(target, connection);
+    this->releaseConnection(target, connection);
 }
 
-void Generator::freed(Target &target, LoadConnection &connection)
+void Generator::releaseConnection(Target &target, LoadConnection &connection)
 {
     if (target.waiting.empty()) {
         target.idle.push_back(&connection);
@@ -258,23 +259,23 @@
     }
     const std::size_t next = target.waiting.front();
     target.waiting.pop_front();
-    this->put(connection, next);
+    this->sendOn(connection, next);
 }
 
 // The caller's side of the agreement: a refused call comes back when it was told to, and one whose outcome is
 // not known comes back only if running it twice does no harm. Another node is asked each time.
-bool Generator::retryLater(std::size_t index, FinalOutcome outcome, Milliseconds after)
+bool Generator::scheduleRetry(std::size_t index, FinalOutcome outcome, Milliseconds after)
 {
     Call &call = this->calls[index];
     const bool refused = outcome == FinalOutcome::NotRun;
     const bool open = outcome == FinalOutcome::Unknown || outcome == FinalOutcome::Broken;
-    const bool may = refused || (open && this->settings.mix[call.kind].mayRepeat());
+    const bool may = refused || (open && this->settings.mix[call.kind].isSafeToRetry());
     if (!may || call.retriesLeft == 0)
         return false;
     --call.retriesLeft;
     if (call.counted)
-        ++this->results.kind(call.way, call.kind).retries;
-    call.target = (call.target + 1) % this->targets[static_cast<std::size_t>(call.way)].size();
+        ++this->results.kind(call.trafficPath, call.kind).retries;
+    call.target = (call.target + 1) % this->targets[static_cast<std::size_t>(call.trafficPath)].size();
     this->retries.push(Retry{SteadyClock::now() + after, index});
     return true;
 }
@@ -288,46 +289,46 @@
     if (!call.counted)
         return;
     const Duration latency = SteadyClock::now() - call.intended;
-    KindTally &kind = this->results.kind(call.way, call.kind);
+    KindStatistics &kind = this->results.kind(call.trafficPath, call.kind);
     ++kind.outcomes[static_cast<std::size_t>(outcome)];
     if (replayed)
         ++kind.replayed;
     if (outcome == FinalOutcome::Done) {
-        kind.done.record(latency);
+        kind.doneLatency.record(latency);
         if (this->settings.deadline.count() == 0 || latency <= this->settings.deadline)
-            ++kind.inTime;
+            ++kind.withinDeadline;
         return;
     }
     if (outcome == FinalOutcome::NotRun)
-        kind.refused.record(latency);
+        kind.refusedLatency.record(latency);
     ++kind.reasons[std::string(finalOutcomeNames.name(outcome)) + ": " + reason];
 }
 
-void Generator::retryDue(Instant now)
+void Generator::startDueRetries(Instant now)
 {
     while (!this->retries.empty() && this->retries.top().due <= now) {
         const std::size_t index = this->retries.top().call;
         this->retries.pop();
-        this->attempt(index);
+        this->startAttempt(index);
     }
 }
 
-void Generator::giveUpOverdue(Instant now)
+void Generator::failOverdueCalls(Instant now)
 {
     this->nextSweep = now + sweepInterval;
     const bool told = this->settings.deadline.count() != 0;
     const Duration longest = (told ? this->settings.deadline : longestWithoutDeadline) + grace;
-    for (std::vector<Target> &way : this->targets) {
-        for (Target &target : way) {
+    for (std::vector<Target> &pathTargets : this->targets) {
+        for (Target &target : pathTargets) {
             std::vector<LoadConnection *> overdue;
             for (const auto &connection : target.connections) {
                 const Call *call =
                     connection->call < this->calls.size() ? &this->calls[connection->call] : nullptr;
-                if (connection->waits() && call != nullptr && now - call->sent > longest)
+                if (connection->isBusy() && call != nullptr && now - call->sent > longest)
                     overdue.push_back(connection.get());
             }
             for (LoadConnection *connection : overdue)
-                connection->giveUp("no answer in time");
+                connection->abort("no answer in time");
             while (!target.waiting.empty() && now - this->calls[target.waiting.front()].sent > longest) {
                 const std::size_t index = target.waiting.front();
                 target.waiting.pop_front();
@@ -337,12 +338,12 @@
     }
 }
 
-bool Generator::belongs(const Call &call, const Answer &answer) const
+bool Generator::matchesCall(const Call &call, const Response &response) const
 {
     const MixEntry &entry = this->settings.mix[call.kind];
-    std::string_view body = answer.body;
+    std::string_view body = response.body;
     std::string wanted = "call=" + call.callId;
-    if (answer.replayed)
+    if (response.replayed)
         wanted = body.substr(0, body.find('\n')); // An earlier attempt's id, with the same key.
     const bool empty = entry.method == "GET" || this->body.empty();
     wanted += "\nmethod=" + entry.method + "\ntarget=" + call.path
@@ -369,25 +370,25 @@
     });
 }
 
-void Generator::recordAnswered(const Call &call, const Answer &answer)
+void Generator::recordResponse(const Call &call, const Response &response)
 {
     this->history.record([&] {
         CallerAnswered event;
         event.call = call.callId;
-        event.status = answer.status;
-        event.outcome = answer.outcome;
-        event.reason = answer.reason;
-        event.replayed = answer.replayed;
-        event.echo = answer.callId;
-        event.body = historyDigest(answer.body);
-        event.retryAfterMilliseconds = answer.retryAfterMilliseconds;
+        event.status = response.status;
+        event.outcome = response.outcome;
+        event.reason = response.reason;
+        event.replayed = response.replayed;
+        event.echo = response.callId;
+        event.body = historyDigest(response.body);
+        event.retryAfterMilliseconds = response.retryAfterMilliseconds;
         return event;
     });
 }
 
 Generator::Target &Generator::targetOf(const Call &call)
 {
-    return this->targets[static_cast<std::size_t>(call.way)][call.target];
+    return this->targets[static_cast<std::size_t>(call.trafficPath)][call.target];
 }
 
 } // namespace Sagecrank
--- a/Utilities/Load/Generator.h
+++ b/Utilities/Load/Generator.h
@@ -31,12 +31,12 @@
 
     // Returns when every call has ended or was given up on.
     void run(Instant start);
-    const Tally &tally() const { return this->results; }
+    const LoadStatistics &statistics() const { return this->results; }
 
 private:
     struct Call
     {
-        Way way = Way::Through;
+        TrafficPath trafficPath = TrafficPath::ThroughNode;
         std::size_t kind = 0;
         std::size_t target = 0; // Index into the way's targets.
         Instant intended{};     // Of the first attempt; latency counts from here.
@@ -65,23 +65,23 @@
         bool operator>(const Retry &other) const { return this->due > other.due; }
     };
 
-    void buildTargets(Way way, const std::vector<std::string> &addresses);
-    void launchDue(Instant now);
-    void launch(Instant intended);
-    void attempt(std::size_t index);
-    void place(std::size_t index);
-    void put(LoadConnection &connection, std::size_t index);
-    void answered(Target &target, LoadConnection &connection, const Answer &answer);
-    void broken(Target &target, LoadConnection &connection, const std::string &reason);
-    void freed(Target &target, LoadConnection &connection);
-    bool retryLater(std::size_t index, FinalOutcome outcome, Milliseconds after);
+    void buildTargets(TrafficPath trafficPath, const std::vector<std::string> &addresses);
+    void startDueCalls(Instant now);
+    void startCall(Instant intended);
+    void startAttempt(std::size_t index);
+    void assignConnection(std::size_t index);
+    void sendOn(LoadConnection &connection, std::size_t index);
+    void onResponse(Target &target, LoadConnection &connection, const Response &response);
+    void onFailure(Target &target, LoadConnection &connection, const std::string &reason);
+    void releaseConnection(Target &target, LoadConnection &connection);
+    bool scheduleRetry(std::size_t index, FinalOutcome outcome, Milliseconds after);
     void finish(std::size_t index, FinalOutcome outcome, const std::string &reason, bool replayed);
-    void retryDue(Instant now);
-    void giveUpOverdue(Instant now);
-    void waitForWork(Instant now);
-    bool belongs(const Call &call, const Answer &answer) const;
+    void startDueRetries(Instant now);
+    void failOverdueCalls(Instant now);
+    void waitForNextEvent(Instant now);
+    bool matchesCall(const Call &call, const Response &response) const;
     void recordSent(const Call &call, const std::string &address);
-    void recordAnswered(const Call &call, const Answer &answer);
+    void recordResponse(const Call &call, const Response &response);
     Target &targetOf(const Call &call);
 
     const LoadSettings &settings;
@@ -92,9 +92,9 @@
     std::mt19937_64 random;
     ArrivalSchedule schedule;
     WeightedChoice kinds;
-    SkewedChoice numbers;
-    std::vector<SkewedChoice> targetChoice;   // By Way; empty when the way is not used.
-    std::vector<std::vector<Target>> targets; // By Way; never resized once built.
+    ZipfChoice numbers;
+    std::vector<ZipfChoice> targetChoice;     // By TrafficPath; empty when the way is not used.
+    std::vector<std::vector<Target>> targets; // By TrafficPath; never resized once built.
     std::string body;
     std::string bodyDigest;
     std::vector<Call> calls; // Slots, used again.
@@ -105,7 +105,7 @@
     Instant start{};
     Instant nextDue{};
     Instant nextSweep{};
-    Tally results;
+    LoadStatistics results;
 };
 
 } // namespace Sagecrank
--- a/Utilities/Load/LatencyHistogram.cpp
+++ b/Utilities/Load/LatencyHistogram.cpp
@@ -6,21 +6,21 @@
 
 namespace Sagecrank {
 
-void Latencies::record(Duration latency)
+void LatencyHistogram::record(Duration latency)
 {
     const auto nanoseconds = static_cast<std::uint64_t>(std::max<std::int64_t>(latency.count(), 0));
     ++this->counts[Buckets::index(nanoseconds)];
     ++this->total;
 }
 
-void Latencies::merge(const Latencies &other)
+void LatencyHistogram::merge(const LatencyHistogram &other)
 {
     for (std::size_t bucket = 0; bucket < this->counts.size(); ++bucket)
         this->counts[bucket] += other.counts[bucket];
     this->total += other.total;
 }
 
-Duration Latencies::quantile(double share) const
+Duration LatencyHistogram::quantile(double share) const
 {
     if (this->total == 0)
         return Duration::zero();
--- a/Utilities/Load/LatencyHistogram.h
+++ b/Utilities/Load/LatencyHistogram.h
@@ -9,16 +9,16 @@
 
 namespace Sagecrank {
 
-class Latencies
+class LatencyHistogram
 {
 public:
-    Latencies()
+    LatencyHistogram()
         : counts(Buckets::count)
     {
     }
 
     void record(Duration latency);
-    void merge(const Latencies &other);
+    void merge(const LatencyHistogram &other);
 
     std::uint64_t count() const { return this->total; }
     // The smallest recorded value that at least `share` of all are at or below; zero when there is none.
--- a/Utilities/Load/LoadConnection.cpp
+++ b/Utilities/Load/LoadConnection.cpp
@@ -32,10 +32,11 @@
     std::array<char, readSize> buffer{};
 };
 
-LoadConnection::LoadConnection(asio::io_context &context, asio::ip::tcp::endpoint endpoint, Hooks hooks)
+LoadConnection::LoadConnection(asio::io_context &context, asio::ip::tcp::endpoint endpoint,
+                               Callbacks callbacks)
     : wire(std::make_unique<Wire>(context))
     , endpoint(std::move(endpoint))
-    , hooks(std::move(hooks))
+    , callbacks(std::move(callbacks))
 {
     this->wire->message.version(11);
     this->wire->message.set(http::field::host, this->endpoint.address().to_string());
@@ -113,18 +114,18 @@
 {
     if (!this->busy)
         return this->close(); // Bytes that nobody asked for.
-    const ReadProgress progress = this->reader.take(std::string_view(this->wire->buffer.data(), size));
+    const ReadProgress progress = this->reader.feed(std::string_view(this->wire->buffer.data(), size));
     if (progress == ReadProgress::Malformed)
         return this->fail("malformed");
     if (progress == ReadProgress::Incomplete)
         return this->read();
     this->busy = false;
-    if (!this->reader.answer().keepAlive)
+    if (!this->reader.response().keepAlive)
         this->close();
-    this->hooks.answered(*this, this->reader.answer());
+    this->callbacks.onResponse(*this, this->reader.response());
 }
 
-void LoadConnection::giveUp(const std::string &reason)
+void LoadConnection::abort(const std::string &reason)
 {
     this->fail(reason);
 }
@@ -135,7 +136,7 @@
     if (!this->busy)
         return;
     this->busy = false;
-    this->hooks.broken(*this, reason);
+    this->callbacks.onFailure(*this, reason);
 }
 
 void LoadConnection::close()
--- a/Utilities/Load/LoadConnection.h
+++ b/Utilities/Load/LoadConnection.h
@@ -27,24 +27,25 @@
 {
 public:
     // One of the two is called once for each send().
-    struct Hooks
+    struct Callbacks
     {
-        std::function<void(LoadConnection &, const Answer &)> answered;
-        std::function<void(LoadConnection &, const std::string &reason)> broken;
+        std::function<void(LoadConnection &, const Response &)> onResponse;
+        std::function<void(LoadConnection &, const std::string &reason)> onFailure;
     };
 
-    LoadConnection(boost::asio::io_context &context, boost::asio::ip::tcp::endpoint endpoint, Hooks hooks);
+    LoadConnection(boost::asio::io_context &context, boost::asio::ip::tcp::endpoint endpoint,
+                   Callbacks callbacks);
     ~LoadConnection();
     LoadConnection(const LoadConnection &) = delete;
     LoadConnection &operator=(const LoadConnection &) = delete;
 
     void send(const OutgoingRequest &request);
     // Gives the request up: closes the connection and reports it broken with this reason.
-    void giveUp(const std::string &reason);
+    void abort(const std::string &reason);
     // Ends the connection without a report.
     void close();
 
-    bool waits() const { return this->busy; }
+    bool isBusy() const { return this->busy; }
 
     // Which call is on it; kept for the owner.
     std::size_t call = 0;
@@ -60,8 +61,8 @@
 
     std::unique_ptr<Wire> wire;
     boost::asio::ip::tcp::endpoint endpoint;
-    Hooks hooks;
-    AnswerReader reader;
+    Callbacks callbacks;
+    ResponseReader reader;
     bool busy = false;    // A request waits for its answer.
     bool reading = false; // At most one read is pending.
     std::uint64_t generation =
--- a/Utilities/Load/LoadStatistics.cpp
+++ b/Utilities/Load/LoadStatistics.cpp
@@ -3,7 +3,7 @@
 
 namespace Sagecrank {
 
-std::uint64_t KindTally::total() const
+std::uint64_t KindStatistics::total() const
 {
     std::uint64_t sum = 0;
     for (const std::uint64_t count : this->outcomes)
@@ -11,43 +11,43 @@
     return sum;
 }
 
-void KindTally::merge(const KindTally &other)
+void KindStatistics::merge(const KindStatistics &other)
 {
     for (std::size_t at = 0; at < this->outcomes.size(); ++at)
         this->outcomes[at] += other.outcomes[at];
     for (const auto &[reason, count] : other.reasons)
         this->reasons[reason] += count;
     this->retries += other.retries;
-    this->inTime += other.inTime;
+    this->withinDeadline += other.withinDeadline;
     this->replayed += other.replayed;
-    this->done.merge(other.done);
-    this->refused.merge(other.refused);
+    this->doneLatency.merge(other.doneLatency);
+    this->refusedLatency.merge(other.refusedLatency);
 }
 
-KindTally Tally::whole(Way way) const
+KindStatistics LoadStatistics::mergedKinds(TrafficPath trafficPath) const
 {
-    KindTally sum;
-    for (const KindTally &kind : this->ways[static_cast<std::size_t>(way)])
+    KindStatistics sum;
+    for (const KindStatistics &kind : this->byTrafficPath[static_cast<std::size_t>(trafficPath)])
         sum.merge(kind);
     return sum;
 }
 
-void Tally::merge(const Tally &other)
+void LoadStatistics::merge(const LoadStatistics &other)
 {
-    for (std::size_t way = 0; way < this->ways.size(); ++way) {
-        for (std::size_t kind = 0; kind < this->ways[way].size(); ++kind)
-            this->ways[way][kind].merge(other.ways[way][kind]);
+    for (std::size_t trafficPath = 0; trafficPath < this->byTrafficPath.size(); ++trafficPath) {
+        for (std::size_t kind = 0; kind < this->byTrafficPath[trafficPath].size(); ++kind)
+            this->byTrafficPath[trafficPath][kind].merge(other.byTrafficPath[trafficPath][kind]);
     }
     this->sendLag.merge(other.sendLag);
 }
 
-FinalOutcome judgeAnswer(const Answer &answer)
+FinalOutcome classifyResponse(const Response &response)
 {
-    if (answer.outcome == "not-run")
+    if (response.outcome == "not-run")
         return FinalOutcome::NotRun;
-    if (answer.outcome == "unknown" || (answer.outcome.empty() && answer.status == 504))
+    if (response.outcome == "unknown" || (response.outcome.empty() && response.status == 504))
         return FinalOutcome::Unknown;
-    return answer.status >= 500 ? FinalOutcome::Failed : FinalOutcome::Done;
+    return response.status >= 500 ? FinalOutcome::Failed : FinalOutcome::Done;
 }
 
 } // namespace Sagecrank
--- a/Utilities/Load/LoadStatistics.h
+++ b/Utilities/Load/LoadStatistics.h
@@ -16,7 +16,7 @@
 
 namespace Sagecrank {
 
-enum class Way { Through, Direct };
+enum class TrafficPath { ThroughNode, Direct };
 
 enum class FinalOutcome {
     Done,    // Ran and was answered, whatever the status below 500.
@@ -38,42 +38,45 @@
     {FinalOutcome::Unsent, "unsent"},
 }};
 
-struct KindTally
+struct KindStatistics
 {
     std::array<std::uint64_t, 7> outcomes{};      // By FinalOutcome.
     std::map<std::string, std::uint64_t> reasons; // Of refusals and of broken calls.
     std::uint64_t retries = 0;
-    std::uint64_t inTime = 0; // Done before the deadline.
+    std::uint64_t withinDeadline = 0; // Done before the deadline.
     std::uint64_t replayed = 0;
-    Latencies done;    // From the intended start of the first attempt to the final answer.
-    Latencies refused; // The same for calls that ended as not run.
+    LatencyHistogram doneLatency;    // From the intended start of the first attempt to the final answer.
+    LatencyHistogram refusedLatency; // The same for calls that ended as not run.
 
     std::uint64_t count(FinalOutcome outcome) const
     {
         return this->outcomes[static_cast<std::size_t>(outcome)];
     }
     std::uint64_t total() const;
-    void merge(const KindTally &other);
+    void merge(const KindStatistics &other);
 };
 
-struct Tally
+struct LoadStatistics
 {
-    explicit Tally(std::size_t kinds)
+    explicit LoadStatistics(std::size_t kinds)
     {
-        for (auto &list : this->ways)
+        for (auto &list : this->byTrafficPath)
             list.resize(kinds);
     }
 
-    std::array<std::vector<KindTally>, 2> ways; // By Way, then in the mix's order.
-    Latencies sendLag; // How late the tool itself sent: from the intended to the real start.
+    std::array<std::vector<KindStatistics>, 2> byTrafficPath; // By TrafficPath, then in the mix's order.
+    LatencyHistogram sendLag; // How late the tool itself sent: from the intended to the real start.
 
-    KindTally &kind(Way way, std::size_t index) { return this->ways[static_cast<std::size_t>(way)][index]; }
-    KindTally whole(Way way) const;
-    void merge(const Tally &other);
+    KindStatistics &kind(TrafficPath trafficPath, std::size_t index)
+    {
+        return this->byTrafficPath[static_cast<std::size_t>(trafficPath)][index];
+    }
+    KindStatistics mergedKinds(TrafficPath trafficPath) const;
+    void merge(const LoadStatistics &other);
 };
 
 // What an answer says. Without the outcome header (the upstream itself answers direct calls) the status
 // decides.
-FinalOutcome judgeAnswer(const Answer &answer);
+FinalOutcome classifyResponse(const Response &response);
 
 } // namespace Sagecrank
--- a/Utilities/Load/Main.cpp
+++ b/Utilities/Load/Main.cpp
@@ -111,14 +111,14 @@
     load.mix = TRY(readMix(line));
     load.deadline = Milliseconds(line.deadlineMilliseconds);
     load.spin = !line.noSpin;
-    load.checkAnswers = !line.noCheck;
+    load.checkResponses = !line.noCheck;
     if (load.runId.empty())
         load.runId = "load" + std::to_string(::getpid()) + "-"
                      + std::to_string(SteadyClock::now().time_since_epoch().count() % 1'000'000'000);
     return load;
 }
 
-Tally runAll(const LoadSettings &settings)
+LoadStatistics runAll(const LoadSettings &settings)
 {
     HistoryRecorder history("load", settings.history);
     std::vector<std::unique_ptr<Generator>> generators;
@@ -130,10 +130,10 @@
         threads.emplace_back([&generator, start] { generator->run(start); });
     for (std::thread &thread : threads)
         thread.join();
-    Tally tally(settings.mix.size());
+    LoadStatistics statistics(settings.mix.size());
     for (const auto &generator : generators)
-        tally.merge(generator->tally());
-    return tally;
+        statistics.merge(generator->statistics());
+    return statistics;
 }
 
 int run(LoadArguments line)
@@ -144,11 +144,12 @@
         std::cerr << settings.error().describe() << "\n";
         return exitUsage;
     }
-    const Tally tally = runAll(settings.value());
+    const LoadStatistics statistics = runAll(settings.value());
     std::ostream &out = settings.value().history ? std::cerr : std::cout;
-    out << (json ? jsonReport(settings.value(), tally) : textReport(settings.value(), tally));
-    const bool wrong = tally.whole(Way::Through).count(FinalOutcome::Wrong) != 0
-                       || tally.whole(Way::Direct).count(FinalOutcome::Wrong) != 0;
+    out << (json ? formatJsonReport(settings.value(), statistics)
+                 : formatTextReport(settings.value(), statistics));
+    const bool wrong = statistics.mergedKinds(TrafficPath::ThroughNode).count(FinalOutcome::Wrong) != 0
+                       || statistics.mergedKinds(TrafficPath::Direct).count(FinalOutcome::Wrong) != 0;
     return wrong ? exitWrongAnswers : 0;
 }
 
--- a/Utilities/Load/Mix.h
+++ b/Utilities/Load/Mix.h
@@ -20,7 +20,7 @@
     bool keyed = false; // Each call carries an idempotency key, which its retries repeat.
 
     // May be sent again when it is not known whether it ran.
-    bool mayRepeat() const { return this->keyed || this->callClass != CallClass::NonIdempotent; }
+    bool isSafeToRetry() const { return this->keyed || this->callClass != CallClass::NonIdempotent; }
 };
 
 // "name:share:method:path:class[:keyed]". Errors: InvalidInput.
--- a/Utilities/Load/Report.cpp
+++ b/Utilities/Load/Report.cpp
@@ -31,7 +31,7 @@
     return text;
 }
 
-std::string quantilesText(const Latencies &latencies)
+std::string quantilesText(const LatencyHistogram &latencies)
 {
     std::string text;
     for (const Share &share : shares)
@@ -39,36 +39,38 @@
     return text + " ms";
 }
 
-std::string kindText(const std::string &name, const KindTally &tally, double seconds)
+std::string kindText(const std::string &name, const KindStatistics &statistics, double seconds)
 {
     std::string text = formatted("  %-12s %9llu calls, in time %.1f/s, done", name.c_str(),
-                                 static_cast<unsigned long long>(tally.total()),
-                                 static_cast<double>(tally.inTime) / seconds);
-    text += quantilesText(tally.done) + "\n   ";
+                                 static_cast<unsigned long long>(statistics.total()),
+                                 static_cast<double>(statistics.withinDeadline) / seconds);
+    text += quantilesText(statistics.doneLatency) + "\n   ";
     for (const auto &[outcome, label] : finalOutcomeNames.rows) {
-        if (tally.count(outcome) != 0)
-            text +=
-                formatted(" %s=%llu", label.data(), static_cast<unsigned long long>(tally.count(outcome)));
+        if (statistics.count(outcome) != 0)
+            text += formatted(" %s=%llu", label.data(),
+                              static_cast<unsigned long long>(statistics.count(outcome)));
     }
-    text += formatted(" retries=%llu replayed=%llu", static_cast<unsigned long long>(tally.retries),
-                      static_cast<unsigned long long>(tally.replayed));
-    for (const auto &[reason, count] : tally.reasons)
+    text += formatted(" retries=%llu replayed=%llu", static_cast<unsigned long long>(statistics.retries),
+                      static_cast<unsigned long long>(statistics.replayed));
+    for (const auto &[reason, count] : statistics.reasons)
         text += formatted(" [%s]=%llu", reason.c_str(), static_cast<unsigned long long>(count));
-    if (tally.refused.count() != 0)
-        text += " refused after" + quantilesText(tally.refused);
+    if (statistics.refusedLatency.count() != 0)
+        text += " refused after" + quantilesText(statistics.refusedLatency);
     return text + "\n";
 }
 
-std::string routeText(const char *title, const LoadSettings &settings, const Tally &tally, Way way)
+std::string routeText(const char *title, const LoadSettings &settings, const LoadStatistics &statistics,
+                      TrafficPath trafficPath)
 {
-    std::string text = std::string(title) + ":\n" + kindText("all", tally.whole(way), settings.seconds);
-    const auto &kinds = tally.ways[static_cast<std::size_t>(way)];
+    std::string text =
+        std::string(title) + ":\n" + kindText("all", statistics.mergedKinds(trafficPath), settings.seconds);
+    const auto &kinds = statistics.byTrafficPath[static_cast<std::size_t>(trafficPath)];
     for (std::size_t index = 0; settings.mix.size() > 1 && index < kinds.size(); ++index)
         text += kindText(settings.mix[index].name, kinds[index], settings.seconds);
     return text;
 }
 
-json::object quantilesJson(const Latencies &latencies)
+json::object quantilesJson(const LatencyHistogram &latencies)
 {
     json::object object;
     for (const Share &share : shares)
@@ -76,53 +78,54 @@
     return object;
 }
 
-json::object kindJson(const KindTally &tally, double seconds)
+json::object kindJson(const KindStatistics &statistics, double seconds)
 {
     json::object object;
-    object["calls"] = tally.total();
+    object["calls"] = statistics.total();
     for (const auto &[outcome, label] : finalOutcomeNames.rows)
-        object[std::string(label)] = tally.count(outcome);
-    object["goodput"] = static_cast<double>(tally.inTime) / seconds;
-    object["retries"] = tally.retries;
-    object["replayed"] = tally.replayed;
-    object["done_ms"] = quantilesJson(tally.done);
-    object["refused_ms"] = quantilesJson(tally.refused);
+        object[std::string(label)] = statistics.count(outcome);
+    object["goodput"] = static_cast<double>(statistics.withinDeadline) / seconds;
+    object["retries"] = statistics.retries;
+    object["replayed"] = statistics.replayed;
+    object["done_ms"] = quantilesJson(statistics.doneLatency);
+    object["refused_ms"] = quantilesJson(statistics.refusedLatency);
     json::object reasons;
-    for (const auto &[reason, count] : tally.reasons)
+    for (const auto &[reason, count] : statistics.reasons)
         reasons[reason] = count;
     object["reasons"] = std::move(reasons);
     return object;
 }
 
-json::object routeJson(const LoadSettings &settings, const Tally &tally, Way way)
+json::object routeJson(const LoadSettings &settings, const LoadStatistics &statistics,
+                       TrafficPath trafficPath)
 {
-    json::object object = kindJson(tally.whole(way), settings.seconds);
+    json::object object = kindJson(statistics.mergedKinds(trafficPath), settings.seconds);
     json::object kinds;
     for (std::size_t index = 0; index < settings.mix.size(); ++index)
-        kinds[settings.mix[index].name] =
-            kindJson(tally.ways[static_cast<std::size_t>(way)][index], settings.seconds);
+        kinds[settings.mix[index].name] = kindJson(
+            statistics.byTrafficPath[static_cast<std::size_t>(trafficPath)][index], settings.seconds);
     object["kinds"] = std::move(kinds);
     return object;
 }
 
 } // namespace
 
-std::string textReport(const LoadSettings &settings, const Tally &tally)
+std::string formatTextReport(const LoadSettings &settings, const LoadStatistics &statistics)
 {
     std::string text =
         formatted("%.0f calls/s offered (%s) for %.1f s after %.1f s of warm-up, seed %llu\n", settings.rate,
                   arrivalKindNames.name(settings.arrivals).data(), settings.seconds, settings.warmupSeconds,
                   static_cast<unsigned long long>(settings.seed));
-    text +=
-        "latency from the intended start; the tool itself sent late by" + quantilesText(tally.sendLag) + "\n";
+    text += "latency from the intended start; the tool itself sent late by"
+            + quantilesText(statistics.sendLag) + "\n";
     if (!settings.targets.empty())
-        text += routeText("through nodes", settings, tally, Way::Through);
+        text += routeText("through nodes", settings, statistics, TrafficPath::ThroughNode);
     if (!settings.direct.empty())
-        text += routeText("direct to upstreams", settings, tally, Way::Direct);
+        text += routeText("direct to upstreams", settings, statistics, TrafficPath::Direct);
     if (settings.targets.empty() || settings.direct.empty())
         return text;
-    const Latencies through = tally.whole(Way::Through).done;
-    const Latencies direct = tally.whole(Way::Direct).done;
+    const LatencyHistogram through = statistics.mergedKinds(TrafficPath::ThroughNode).doneLatency;
+    const LatencyHistogram direct = statistics.mergedKinds(TrafficPath::Direct).doneLatency;
     text += "added latency (difference of the quantiles):";
     for (const Share &share : shares) {
         text += formatted(" %s %.3f", share.name,
@@ -132,21 +135,21 @@
     return text + " ms\n";
 }
 
-std::string jsonReport(const LoadSettings &settings, const Tally &tally)
+std::string formatJsonReport(const LoadSettings &settings, const LoadStatistics &statistics)
 {
     json::object object;
     object["rate"] = settings.rate;
     object["seconds"] = settings.seconds;
     object["seed"] = settings.seed;
-    object["send_lag_ms"] = quantilesJson(tally.sendLag);
+    object["send_lag_ms"] = quantilesJson(statistics.sendLag);
     if (!settings.targets.empty())
-        object["through"] = routeJson(settings, tally, Way::Through);
+        object["through"] = routeJson(settings, statistics, TrafficPath::ThroughNode);
     if (!settings.direct.empty())
-        object["direct"] = routeJson(settings, tally, Way::Direct);
+        object["direct"] = routeJson(settings, statistics, TrafficPath::Direct);
     if (!settings.targets.empty() && !settings.direct.empty()) {
         json::object added;
-        const Latencies through = tally.whole(Way::Through).done;
-        const Latencies direct = tally.whole(Way::Direct).done;
+        const LatencyHistogram through = statistics.mergedKinds(TrafficPath::ThroughNode).doneLatency;
+        const LatencyHistogram direct = statistics.mergedKinds(TrafficPath::Direct).doneLatency;
         for (const Share &share : shares)
             added[share.name] =
                 milliseconds(through.quantile(share.value)) - milliseconds(direct.quantile(share.value));
--- a/Utilities/Load/Report.h
+++ b/Utilities/Load/Report.h
@@ -8,7 +8,7 @@
 
 namespace Sagecrank {
 
-std::string textReport(const LoadSettings &settings, const Tally &tally);
-std::string jsonReport(const LoadSettings &settings, const Tally &tally);
+std::string formatTextReport(const LoadSettings &settings, const LoadStatistics &statistics);
+std::string formatJsonReport(const LoadSettings &settings, const LoadStatistics &statistics);
 
 } // namespace Sagecrank
--- a/Utilities/Load/ResponseReader.cpp
+++ b/Utilities/Load/ResponseReader.cpp
@@ -12,17 +12,17 @@
 using boost::system::error_code;
 using BeastView = boost::beast::string_view;
 
-class AnswerReader::Parser
+class ResponseReader::Parser
 {
 public:
-    explicit Parser(Answer &answer)
-        : answer(answer)
+    explicit Parser(Response &response)
+        : response(response)
     {
     }
 
     void begin()
     {
-        this->machine.emplace(this->answer);
+        this->machine.emplace(this->response);
         this->machine->eager(true);
     }
 
@@ -38,8 +38,8 @@
     class Machine : public http::basic_parser<false>
     {
     public:
-        explicit Machine(Answer &answer)
-            : answer(answer)
+        explicit Machine(Response &response)
+            : response(response)
         {
         }
 
@@ -47,7 +47,7 @@
         void on_request_impl(http::verb, BeastView, BeastView, int, error_code &) override {}
         void on_response_impl(int code, BeastView, int, error_code &) override
         {
-            this->answer.status = static_cast<unsigned>(code);
+            this->response.status = static_cast<unsigned>(code);
         }
         void on_field_impl(http::field, BeastView name, BeastView value, error_code &) override
         {
@@ -56,47 +56,48 @@
                 return;
             const std::string_view text(value.data(), value.size());
             if (boost::beast::iequals(name, "Sagecrank-Outcome"))
-                this->answer.outcome = text;
+                this->response.outcome = text;
             else if (boost::beast::iequals(name, "Sagecrank-Reason"))
-                this->answer.reason = text;
+                this->response.reason = text;
             else if (boost::beast::iequals(name, "Sagecrank-Call-Id"))
-                this->answer.callId = text;
+                this->response.callId = text;
             else if (boost::beast::iequals(name, "Sagecrank-Replayed"))
-                this->answer.replayed = text == "true";
+                this->response.replayed = text == "true";
             else if (boost::beast::iequals(name, "Sagecrank-Retry-After-Ms"))
-                std::from_chars(text.data(), text.data() + text.size(), this->answer.retryAfterMilliseconds);
+                std::from_chars(text.data(), text.data() + text.size(),
+                                this->response.retryAfterMilliseconds);
         }
         void on_header_impl(error_code &) override {}
         void on_body_init_impl(const boost::optional<std::uint64_t> &, error_code &) override {}
         std::size_t on_body_impl(BeastView body, error_code &) override
         {
-            this->answer.body.append(body.data(), body.size());
+            this->response.body.append(body.data(), body.size());
             return body.size();
         }
         void on_chunk_header_impl(std::uint64_t, BeastView, error_code &) override {}
         std::size_t on_chunk_body_impl(std::uint64_t, BeastView body, error_code &) override
         {
-            this->answer.body.append(body.data(), body.size());
+            this->response.body.append(body.data(), body.size());
             return body.size();
         }
         void on_finish_impl(error_code &) override {}
 
-        Answer &answer;
+        Response &response;
     };
 
-    Answer &answer;
+    Response &response;
     std::optional<Machine> machine;
 };
 
-AnswerReader::AnswerReader()
+ResponseReader::ResponseReader()
     : parser(std::make_unique<Parser>(this->current))
 {
     this->reset();
 }
 
-AnswerReader::~AnswerReader() = default;
+ResponseReader::~ResponseReader() = default;
 
-void AnswerReader::reset()
+void ResponseReader::reset()
 {
     this->current.status = 0;
     this->current.keepAlive = true;
@@ -110,7 +111,7 @@
     this->parser->begin();
 }
 
-ReadProgress AnswerReader::take(std::string_view bytes)
+ReadProgress ResponseReader::feed(std::string_view bytes)
 {
     if (!this->pending.empty()) {
         this->pending.append(bytes);
--- a/Utilities/Load/ResponseReader.h
+++ b/Utilities/Load/ResponseReader.h
@@ -10,7 +10,7 @@
 
 namespace Sagecrank {
 
-struct Answer
+struct Response
 {
     unsigned status = 0;
     bool keepAlive = true;
@@ -24,24 +24,24 @@
 
 enum class ReadProgress { Incomplete, Complete, Malformed };
 
-class AnswerReader
+class ResponseReader
 {
 public:
-    AnswerReader();
-    ~AnswerReader();
-    AnswerReader(const AnswerReader &) = delete;
-    AnswerReader &operator=(const AnswerReader &) = delete;
+    ResponseReader();
+    ~ResponseReader();
+    ResponseReader(const ResponseReader &) = delete;
+    ResponseReader &operator=(const ResponseReader &) = delete;
 
     // Begins a new answer.
     void reset();
     // Takes more bytes. What comes after a complete answer makes it Malformed, since nothing was asked.
-    ReadProgress take(std::string_view bytes);
-    const Answer &answer() const { return this->current; }
+    ReadProgress feed(std::string_view bytes);
+    const Response &response() const { return this->current; }
 
 private:
     class Parser;
 
-    Answer current;
+    Response current;
     std::string pending; // Bytes of a header that is not whole yet.
     std::unique_ptr<Parser> parser;
 };
--- a/Utilities/Load/Schedule.cpp
+++ b/Utilities/Load/Schedule.cpp
@@ -56,12 +56,12 @@
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(this->seconds));
 }
 
-SkewedChoice::SkewedChoice(std::size_t count, double skew)
+ZipfChoice::ZipfChoice(std::size_t count, double skew)
     : cumulative(cumulate(zipfWeights(count, skew)))
 {
 }
 
-std::size_t SkewedChoice::draw(std::mt19937_64 &random) const
+std::size_t ZipfChoice::draw(std::mt19937_64 &random) const
 {
     return drawFrom(this->cumulative, random);
 }
--- a/Utilities/Load/Schedule.h
+++ b/Utilities/Load/Schedule.h
@@ -36,10 +36,10 @@
 };
 
 // Draws from 0 to count - 1; rank r is drawn in proportion to 1 / (r + 1)^skew, so a skew of zero is uniform.
-class SkewedChoice
+class ZipfChoice
 {
 public:
-    SkewedChoice(std::size_t count, double skew);
+    ZipfChoice(std::size_t count, double skew);
 
     std::size_t draw(std::mt19937_64 &random) const;
 
--- a/Utilities/Load/Settings.h
+++ b/Utilities/Load/Settings.h
@@ -30,10 +30,10 @@
     // Told to the node; the tool itself gives up a little later. Zero: none is told, and each route's own
     // time limit holds.
     Milliseconds deadline{1000};
-    unsigned retries = 0;      // Of one call, after the time that the refusal named.
-    std::size_t bodyBytes = 0; // Of requests other than GET.
-    bool spin = true;          // Poll instead of sleeping shortly before a call is due.
-    bool checkAnswers = true;  // Compare bodies with what the upstream emulator must have said.
+    unsigned retries = 0;       // Of one call, after the time that the refusal named.
+    std::size_t bodyBytes = 0;  // Of requests other than GET.
+    bool spin = true;           // Poll instead of sleeping shortly before a call is due.
+    bool checkResponses = true; // Compare bodies with what the upstream emulator must have said.
     bool history = false;
     std::string runId; // Begins all call ids and keys.
 };
