--- a/Tests/Load/TestLoad.cpp
+++ b/Tests/Load/TestLoad.cpp
@@ -1,5 +1,5 @@
-// The arithmetic that the measurements stand on: arrivals that keep their rate, quantiles, choices in
-// proportion, and answers read whole from any cut of their bytes.
+// Tests the parts of sagecrank-load: arrival rates, quantiles, random choices, the mix format, and the
+// parsing of responses that arrive in pieces.
 #include <Load/LatencyHistogram.h>
 #include <Load/LoadStatistics.h>
 #include <Load/Mix.h>
@@ -52,21 +52,21 @@
     {504, "", FinalOutcome::Unknown},
 };
 
-constexpr std::string_view wholeAnswer = "HTTP/1.1 503 Service Unavailable\r\n"
-                                         "sagecrank-outcome: not-run\r\n"
-                                         "Sagecrank-Reason: queue_full\r\n"
-                                         "Sagecrank-Retry-After-Ms: 120\r\n"
-                                         "Content-Length: 5\r\n\r\n"
-                                         "hello";
+constexpr std::string_view completeResponse = "HTTP/1.1 503 Service Unavailable\r\n"
+                                              "sagecrank-outcome: not-run\r\n"
+                                              "Sagecrank-Reason: queue_full\r\n"
+                                              "Sagecrank-Retry-After-Ms: 120\r\n"
+                                              "Content-Length: 5\r\n\r\n"
+                                              "hello";
 
-constexpr std::string_view chunkedAnswer = "HTTP/1.1 200 OK\r\n"
-                                           "Sagecrank-Replayed: true\r\n"
-                                           "Transfer-Encoding: chunked\r\n\r\n"
-                                           "3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n";
+constexpr std::string_view chunkedResponse = "HTTP/1.1 200 OK\r\n"
+                                             "Sagecrank-Replayed: true\r\n"
+                                             "Transfer-Encoding: chunked\r\n\r\n"
+                                             "3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n";
 
 } // namespace
 
-Test(arrivals, keepTheirRateAndOrder)
+Test(arrivals, haveTheRequestedRateAndOrder)
 {
     for (const ArrivalKind kind : {ArrivalKind::Poisson, ArrivalKind::Uniform}) {
         ArrivalSchedule schedule(kind, 1000, 1);
@@ -111,14 +111,15 @@
     LatencyHistogram latencies;
     for (int microseconds = 1; microseconds <= 10'000; ++microseconds)
         latencies.record(Microseconds(microseconds));
-    const auto near = [&](double share, double microseconds) {
+    const auto isNear = [&](double share, double microseconds) {
         const double got = static_cast<double>(latencies.quantile(share).count()) / 1000;
         return std::abs(got - microseconds) <= microseconds * 0.005;
     };
-    cr_assert(near(0.5, 5000) && near(0.9, 9000) && near(0.99, 9900) && near(0.999, 9990) && near(1, 10'000));
+    cr_assert(isNear(0.5, 5000) && isNear(0.9, 9000) && isNear(0.99, 9900) && isNear(0.999, 9990)
+              && isNear(1, 10'000));
 }
 
-Test(latencies, mergingIsCountingTogether)
+Test(latencies, mergeAddsCounts)
 {
     LatencyHistogram left;
     LatencyHistogram right;
@@ -151,28 +152,28 @@
     cr_assert(classifyResponse(response) == row.outcome);
 }
 
-Test(answerReader, readsAnswersFromAnyCut)
+Test(responseReader, readsResponsesSplitAnywhere)
 {
     ResponseReader reader;
-    for (const std::string_view text : {wholeAnswer, chunkedAnswer}) {
+    for (const std::string_view text : {completeResponse, chunkedResponse}) {
         for (std::size_t first = 1; first < text.size(); ++first) {
             reader.reset();
             cr_assert(reader.feed(text.substr(0, first)) == ReadProgress::Incomplete, "cut at %zu", first);
             cr_assert(reader.feed(text.substr(first)) == ReadProgress::Complete, "cut at %zu", first);
             cr_assert(reader.response().body == "hello");
-            cr_assert(reader.response().replayed == (text == chunkedAnswer));
+            cr_assert(reader.response().replayed == (text == chunkedResponse));
         }
     }
     reader.reset();
-    cr_assert(reader.feed(wholeAnswer) == ReadProgress::Complete);
+    cr_assert(reader.feed(completeResponse) == ReadProgress::Complete);
     cr_assert(reader.response().status == 503 && reader.response().outcome == "not-run");
     cr_assert(reader.response().reason == "queue_full" && reader.response().retryAfterMilliseconds == 120);
 }
 
-Test(answerReader, whatNobodyAskedForIsMalformed)
+Test(responseReader, unexpectedBytesAreMalformed)
 {
     ResponseReader reader;
-    cr_assert(reader.feed(std::string(wholeAnswer) + "HTTP/1.1 200 OK\r\n") == ReadProgress::Malformed);
+    cr_assert(reader.feed(std::string(completeResponse) + "HTTP/1.1 200 OK\r\n") == ReadProgress::Malformed);
     reader.reset();
     cr_assert(reader.feed("SSH-2.0-OpenSSH\r\n\r\n") == ReadProgress::Malformed);
 }
--- a/Utilities/Load/Generator.cpp
+++ b/Utilities/Load/Generator.cpp
@@ -1,4 +1,4 @@
-// The loop of a load thread.
+// Implements Generator.h.
 #include <Load/Generator.h>
 
 #include <algorithm>
@@ -9,15 +9,16 @@
 
 namespace {
 
-// A call is given up on this long after its deadline: the node's own answer to a deadline comes first.
-constexpr Milliseconds grace{500};
-constexpr Milliseconds longestWithoutDeadline{35'000}; // Above every route's time limit.
-constexpr Milliseconds sweepInterval{10};
-constexpr Milliseconds repeatAfter{20}; // After an unknown outcome, which names no time to come back.
-// Calls that wait for a connection in one thread. Beyond it the system takes far less than is offered, and
-// holding more would only use memory.
-constexpr std::size_t maximumActive = 50'000;
-constexpr Microseconds spinWindow{1200}; // The kernel's timers may be late by about a millisecond under load.
+// A call times out this long after its deadline, so that the node's own response to a missed deadline comes
+// first.
+constexpr Milliseconds deadlineGrace{500};
+constexpr Milliseconds timeoutWithoutDeadline{35'000}; // Longer than the timeout of any route.
+constexpr Milliseconds timeoutCheckInterval{10};
+constexpr Milliseconds unknownOutcomeRetryDelay{20}; // Unknown outcomes come without a retry delay.
+// Limit of the active calls of one thread. Above it the system handles far fewer calls than are offered, and
+// more calls in the queue would only use memory.
+constexpr std::size_t maximumActiveCalls = 50'000;
+constexpr Microseconds spinWindow{1200}; // Kernel timers may fire about 1 ms late under load.
 
 std::string digestOf(const std::string &body)
 {
@@ -42,7 +43,7 @@
     return shares;
 }
 
-std::size_t wantedAnswerBytes(std::string_view path)
+std::size_t expectedResponseBytes(std::string_view path)
 {
     constexpr std::string_view name = "answer_bytes=";
     const std::size_t at = path.find(name);
@@ -61,8 +62,8 @@
     , timer(this->context)
     , random((settings.seed * 1000) + index)
     , schedule(settings.arrivals, settings.rate / settings.threads, (settings.seed * 7919) + index)
-    , kinds(sharesOf(settings.mix))
-    , numbers(std::max<std::size_t>(settings.numbers, 1), settings.skew)
+    , kindChoice(sharesOf(settings.mix))
+    , numberChoice(std::max<std::size_t>(settings.numbers, 1), settings.skew)
     , targets(2)
     , body(settings.bodyBytes, 'b')
     , bodyDigest(digestOf(this->body))
@@ -116,16 +117,16 @@
                               + std::chrono::duration_cast<Duration>(std::chrono::duration<double>(
                                   this->settings.warmupSeconds + this->settings.seconds));
     this->nextDue = start + this->schedule.next();
-    this->nextSweep = start;
+    this->nextTimeoutCheck = start;
     auto guard = boost::asio::make_work_guard(this->context);
     while (true) {
         const Instant now = SteadyClock::now();
         if (this->nextDue < lastStart)
             this->startDueCalls(std::min(now, lastStart));
-        else if (this->active == 0)
+        else if (this->activeCalls == 0)
             break;
         this->startDueRetries(now);
-        if (now >= this->nextSweep)
+        if (now >= this->nextTimeoutCheck)
             this->failOverdueCalls(now);
         this->waitForNextEvent(now);
     }
@@ -133,9 +134,9 @@
 
 void Generator::waitForNextEvent(Instant now)
 {
-    const Instant retry = this->retries.empty() ? now + sweepInterval : this->retries.top().due;
-    const Instant due =
-        std::min({this->nextDue < now ? now + sweepInterval : this->nextDue, retry, this->nextSweep});
+    const Instant retry = this->retries.empty() ? now + timeoutCheckInterval : this->retries.top().due;
+    const Instant due = std::min(
+        {this->nextDue < now ? now + timeoutCheckInterval : this->nextDue, retry, this->nextTimeoutCheck});
     if (this->settings.spin && due - now < spinWindow) {
         this->context.poll();
         return;
@@ -154,7 +155,7 @@
     }
 }
 
-void Generator::startCall(Instant intended)
+void Generator::startCall(Instant intendedStart)
 {
     std::size_t slot = 0;
     if (this->freeCalls.empty()) {
@@ -166,24 +167,24 @@
     }
     Call &call = this->calls[slot];
     const bool both = !this->settings.targets.empty() && !this->settings.direct.empty();
-    const bool straight = this->settings.targets.empty() || (both && (this->random() & 1) != 0);
-    call.trafficPath = straight ? TrafficPath::Direct : TrafficPath::ThroughNode;
-    call.kind = this->kinds.draw(this->random);
+    const bool direct = this->settings.targets.empty() || (both && (this->random() & 1) != 0);
+    call.trafficPath = direct ? TrafficPath::Direct : TrafficPath::ThroughNode;
+    call.kind = this->kindChoice.draw(this->random);
     call.target = this->targetChoice[static_cast<std::size_t>(call.trafficPath)].draw(this->random);
-    call.intended = intended;
+    call.intendedStart = intendedStart;
     call.retriesLeft = this->settings.retries;
-    call.counted = intended - this->start >= std::chrono::duration<double>(this->settings.warmupSeconds);
+    call.counted = intendedStart - this->start >= std::chrono::duration<double>(this->settings.warmupSeconds);
     call.active = true;
-    ++this->active;
+    ++this->activeCalls;
     const MixEntry &entry = this->settings.mix[call.kind];
     call.path = entry.path;
     if (const std::size_t at = call.path.find("{n}"); at != std::string::npos)
-        call.path.replace(at, 3, std::to_string(this->numbers.draw(this->random)));
+        call.path.replace(at, 3, std::to_string(this->numberChoice.draw(this->random)));
     call.key.clear();
     if (entry.keyed)
         call.key = this->settings.runId + "-key-" + std::to_string(this->index) + "-"
-                   + std::to_string(this->numbered);
-    if (this->active > maximumActive)
+                   + std::to_string(this->nextCallNumber);
+    if (this->activeCalls > maximumActiveCalls)
         return this->finish(slot, FinalOutcome::Unsent, "too many calls wait for a connection", false);
     this->startAttempt(slot);
 }
@@ -191,8 +192,8 @@
 void Generator::startAttempt(std::size_t index)
 {
     Call &call = this->calls[index];
-    call.callId =
-        this->settings.runId + "-" + std::to_string(this->index) + "-" + std::to_string(this->numbered++);
+    call.callId = this->settings.runId + "-" + std::to_string(this->index) + "-"
+                  + std::to_string(this->nextCallNumber++);
     this->assignConnection(index);
 }
 
@@ -215,7 +216,7 @@
     const bool first = call.retriesLeft == this->settings.retries;
     call.sent = SteadyClock::now();
     if (first && call.counted)
-        this->results.sendLag.record(call.sent - call.intended);
+        this->results.sendLag.record(call.sent - call.intendedStart);
     const MixEntry &entry = this->settings.mix[call.kind];
     connection.call = index;
     this->recordSent(call, this->targetOf(call).address);
@@ -236,8 +237,9 @@
     const std::string reason = response.reason.empty() && outcome != FinalOutcome::Done
                                    ? "status " + std::to_string(response.status)
                                    : response.reason;
-    const Milliseconds after(std::max<std::uint64_t>(response.retryAfterMilliseconds, 1));
-    if (!this->scheduleRetry(index, outcome, outcome == FinalOutcome::NotRun ? after : repeatAfter))
+    const Milliseconds retryAfter(std::max<std::uint64_t>(response.retryAfterMilliseconds, 1));
+    if (!this->scheduleRetry(index, outcome,
+                             outcome == FinalOutcome::NotRun ? retryAfter : unknownOutcomeRetryDelay))
         this->finish(index, outcome, reason, response.replayed);
     this->releaseConnection(target, connection);
 }
@@ -246,7 +248,7 @@
 {
     const std::size_t index = connection.call;
     this->history.record([&] { return CallerLost{this->calls[index].callId, reason}; });
-    if (!this->scheduleRetry(index, FinalOutcome::Broken, repeatAfter))
+    if (!this->scheduleRetry(index, FinalOutcome::Broken, unknownOutcomeRetryDelay))
         this->finish(index, FinalOutcome::Broken, reason, false);
     this->releaseConnection(target, connection);
 }
@@ -262,21 +264,22 @@
     this->sendOn(connection, next);
 }
 
-// The caller's side of the agreement: a refused call comes back when it was told to, and one whose outcome is
-// not known comes back only if running it twice does no harm. Another node is asked each time.
-bool Generator::scheduleRetry(std::size_t index, FinalOutcome outcome, Milliseconds after)
+// Follows the retry rules for callers: a refused call is retried after the delay that the refusal states, and
+// a call with an unknown outcome only if it is idempotent or has an idempotency key. Each retry goes to the
+// next node.
+bool Generator::scheduleRetry(std::size_t index, FinalOutcome outcome, Milliseconds delay)
 {
     Call &call = this->calls[index];
     const bool refused = outcome == FinalOutcome::NotRun;
-    const bool open = outcome == FinalOutcome::Unknown || outcome == FinalOutcome::Broken;
-    const bool may = refused || (open && this->settings.mix[call.kind].isSafeToRetry());
-    if (!may || call.retriesLeft == 0)
+    const bool unknown = outcome == FinalOutcome::Unknown || outcome == FinalOutcome::Broken;
+    const bool retryable = refused || (unknown && this->settings.mix[call.kind].isSafeToRetry());
+    if (!retryable || call.retriesLeft == 0)
         return false;
     --call.retriesLeft;
     if (call.counted)
         ++this->results.kind(call.trafficPath, call.kind).retries;
     call.target = (call.target + 1) % this->targets[static_cast<std::size_t>(call.trafficPath)].size();
-    this->retries.push(Retry{SteadyClock::now() + after, index});
+    this->retries.push(Retry{SteadyClock::now() + delay, index});
     return true;
 }
 
@@ -284,11 +287,11 @@
 {
     Call &call = this->calls[index];
     call.active = false;
-    --this->active;
+    --this->activeCalls;
     this->freeCalls.push_back(index);
     if (!call.counted)
         return;
-    const Duration latency = SteadyClock::now() - call.intended;
+    const Duration latency = SteadyClock::now() - call.intendedStart;
     KindStatistics &kind = this->results.kind(call.trafficPath, call.kind);
     ++kind.outcomes[static_cast<std::size_t>(outcome)];
     if (replayed)
@@ -315,21 +318,21 @@
 
 void Generator::failOverdueCalls(Instant now)
 {
-    this->nextSweep = now + sweepInterval;
-    const bool told = this->settings.deadline.count() != 0;
-    const Duration longest = (told ? this->settings.deadline : longestWithoutDeadline) + grace;
+    this->nextTimeoutCheck = now + timeoutCheckInterval;
+    const bool hasDeadline = this->settings.deadline.count() != 0;
+    const Duration timeout = (hasDeadline ? this->settings.deadline : timeoutWithoutDeadline) + deadlineGrace;
     for (std::vector<Target> &pathTargets : this->targets) {
         for (Target &target : pathTargets) {
             std::vector<LoadConnection *> overdue;
             for (const auto &connection : target.connections) {
                 const Call *call =
                     connection->call < this->calls.size() ? &this->calls[connection->call] : nullptr;
-                if (connection->isBusy() && call != nullptr && now - call->sent > longest)
+                if (connection->isBusy() && call != nullptr && now - call->sent > timeout)
                     overdue.push_back(connection.get());
             }
             for (LoadConnection *connection : overdue)
                 connection->abort("no answer in time");
-            while (!target.waiting.empty() && now - this->calls[target.waiting.front()].sent > longest) {
+            while (!target.waiting.empty() && now - this->calls[target.waiting.front()].sent > timeout) {
                 const std::size_t index = target.waiting.front();
                 target.waiting.pop_front();
                 this->finish(index, FinalOutcome::Unsent, "no connection became free", false);
@@ -342,14 +345,15 @@
 {
     const MixEntry &entry = this->settings.mix[call.kind];
     std::string_view body = response.body;
-    std::string wanted = "call=" + call.callId;
+    std::string expected = "call=" + call.callId;
+    // A replayed response has the call id of an earlier attempt with the same key.
     if (response.replayed)
-        wanted = body.substr(0, body.find('\n')); // An earlier attempt's id, with the same key.
+        expected = body.substr(0, body.find('\n'));
     const bool empty = entry.method == "GET" || this->body.empty();
-    wanted += "\nmethod=" + entry.method + "\ntarget=" + call.path
-              + "\nbody=" + (empty ? digestOf({}) : this->bodyDigest) + "\n";
-    const std::size_t size = std::max(wanted.size(), wantedAnswerBytes(call.path));
-    return body.starts_with(wanted) && body.size() == size;
+    expected += "\nmethod=" + entry.method + "\ntarget=" + call.path
+                + "\nbody=" + (empty ? digestOf({}) : this->bodyDigest) + "\n";
+    const std::size_t size = std::max(expected.size(), expectedResponseBytes(call.path));
+    return body.starts_with(expected) && body.size() == size;
 }
 
 void Generator::recordSent(const Call &call, const std::string &address)
--- a/Utilities/Load/Generator.h
+++ b/Utilities/Load/Generator.h
@@ -1,5 +1,5 @@
-// One thread's part of a run: starts calls at the scheduled instants, puts each on a free connection to its
-// target, retries as a polite caller does, and counts.
+// The load of one thread: starts calls at the scheduled instants, sends each on a free connection to its
+// target, retries them by the rules of the protocol, and collects the statistics.
 #pragma once
 
 #include <Load/LoadConnection.h>
@@ -23,13 +23,13 @@
 class Generator
 {
 public:
-    // `index` of `settings.threads`; all start at the same instant.
+    // `index` is below `settings.threads`. All generators of a run start at the same instant.
     Generator(const LoadSettings &settings, unsigned index, HistoryRecorder &history);
     ~Generator();
     Generator(const Generator &) = delete;
     Generator &operator=(const Generator &) = delete;
 
-    // Returns when every call has ended or was given up on.
+    // Returns when every call has ended or timed out.
     void run(Instant start);
     const LoadStatistics &statistics() const { return this->results; }
 
@@ -38,11 +38,11 @@
     {
         TrafficPath trafficPath = TrafficPath::ThroughNode;
         std::size_t kind = 0;
-        std::size_t target = 0; // Index into the way's targets.
-        Instant intended{};     // Of the first attempt; latency counts from here.
-        Instant sent{};         // Or since when it waits for a connection.
+        std::size_t target = 0;  // Index into the targets of the traffic path.
+        Instant intendedStart{}; // Of the first attempt; latency is measured from here.
+        Instant sent{};          // Or the start of the wait for a connection.
         unsigned retriesLeft = 0;
-        bool counted = false; // Meant to start after the warm-up.
+        bool counted = false; // Scheduled to start after the warm-up.
         bool active = false;
         std::string path;
         std::string callId;
@@ -55,7 +55,7 @@
         std::string address;
         std::vector<std::shared_ptr<LoadConnection>> connections;
         std::vector<LoadConnection *> idle;
-        std::deque<std::size_t> waiting; // Calls without a connection, oldest first.
+        std::deque<std::size_t> waiting; // Calls that wait for a connection, oldest first.
     };
 
     struct Retry
@@ -67,14 +67,14 @@
 
     void buildTargets(TrafficPath trafficPath, const std::vector<std::string> &addresses);
     void startDueCalls(Instant now);
-    void startCall(Instant intended);
+    void startCall(Instant intendedStart);
     void startAttempt(std::size_t index);
     void assignConnection(std::size_t index);
     void sendOn(LoadConnection &connection, std::size_t index);
     void onResponse(Target &target, LoadConnection &connection, const Response &response);
     void onFailure(Target &target, LoadConnection &connection, const std::string &reason);
     void releaseConnection(Target &target, LoadConnection &connection);
-    bool scheduleRetry(std::size_t index, FinalOutcome outcome, Milliseconds after);
+    bool scheduleRetry(std::size_t index, FinalOutcome outcome, Milliseconds delay);
     void finish(std::size_t index, FinalOutcome outcome, const std::string &reason, bool replayed);
     void startDueRetries(Instant now);
     void failOverdueCalls(Instant now);
@@ -91,20 +91,20 @@
     boost::asio::steady_timer timer;
     std::mt19937_64 random;
     ArrivalSchedule schedule;
-    WeightedChoice kinds;
-    ZipfChoice numbers;
-    std::vector<ZipfChoice> targetChoice;     // By TrafficPath; empty when the way is not used.
+    WeightedChoice kindChoice;
+    ZipfChoice numberChoice;
+    std::vector<ZipfChoice> targetChoice;     // By TrafficPath.
     std::vector<std::vector<Target>> targets; // By TrafficPath; never resized once built.
     std::string body;
     std::string bodyDigest;
-    std::vector<Call> calls; // Slots, used again.
+    std::vector<Call> calls; // Slots, which are reused.
     std::vector<std::size_t> freeCalls;
     std::priority_queue<Retry, std::vector<Retry>, std::greater<>> retries;
-    std::size_t active = 0;
-    std::uint64_t numbered = 0; // Call ids given out.
+    std::size_t activeCalls = 0;
+    std::uint64_t nextCallNumber = 0; // Part of call ids and idempotency keys.
     Instant start{};
     Instant nextDue{};
-    Instant nextSweep{};
+    Instant nextTimeoutCheck{};
     LoadStatistics results;
 };
 
--- a/Utilities/Load/LatencyHistogram.cpp
+++ b/Utilities/Load/LatencyHistogram.cpp
@@ -1,4 +1,4 @@
-// Recording and quantiles.
+// Implements LatencyHistogram.h.
 #include <Load/LatencyHistogram.h>
 
 #include <algorithm>
@@ -24,12 +24,12 @@
 {
     if (this->total == 0)
         return Duration::zero();
-    const auto wanted = std::max<std::uint64_t>(
+    const auto rank = std::max<std::uint64_t>(
         1, static_cast<std::uint64_t>(std::ceil(share * static_cast<double>(this->total))));
-    std::uint64_t seen = 0;
+    std::uint64_t cumulativeCount = 0;
     for (std::size_t bucket = 0; bucket < this->counts.size(); ++bucket) {
-        seen += this->counts[bucket];
-        if (seen >= wanted)
+        cumulativeCount += this->counts[bucket];
+        if (cumulativeCount >= rank)
             return Duration(static_cast<Duration::rep>(Buckets::value(bucket)));
     }
     return Duration::zero();
--- a/Utilities/Load/LatencyHistogram.h
+++ b/Utilities/Load/LatencyHistogram.h
@@ -1,4 +1,4 @@
-// Latencies of one kind of call, in nanoseconds, with quantiles known to 0.4%.
+// A histogram of latencies in nanoseconds. Quantiles have a relative error of at most 0.4%.
 #pragma once
 
 #include <LibCore/Time.h>
@@ -21,7 +21,8 @@
     void merge(const LatencyHistogram &other);
 
     std::uint64_t count() const { return this->total; }
-    // The smallest recorded value that at least `share` of all are at or below; zero when there is none.
+    // The smallest value that at least `share` of the recorded values do not exceed; zero if none was
+    // recorded.
     Duration quantile(double share) const;
 
 private:
--- a/Utilities/Load/LoadConnection.cpp
+++ b/Utilities/Load/LoadConnection.cpp
@@ -1,4 +1,4 @@
-// Writes requests by Beast into a message that is kept, reads answers into a buffer that is kept.
+// Implements LoadConnection.h with Beast. The request message and the read buffer are reused.
 #include <Load/LoadConnection.h>
 
 #include <boost/asio/write.hpp>
@@ -16,30 +16,30 @@
 
 namespace {
 
-constexpr std::size_t readSize = 16384;
+constexpr std::size_t readBufferBytes = 16384;
 
 } // namespace
 
-struct LoadConnection::Wire
+struct LoadConnection::Transport
 {
-    explicit Wire(asio::io_context &context)
+    explicit Transport(asio::io_context &context)
         : socket(context)
     {
     }
 
     asio::ip::tcp::socket socket;
     http::request<http::string_body> message;
-    std::array<char, readSize> buffer{};
+    std::array<char, readBufferBytes> buffer{};
 };
 
 LoadConnection::LoadConnection(asio::io_context &context, asio::ip::tcp::endpoint endpoint,
                                Callbacks callbacks)
-    : wire(std::make_unique<Wire>(context))
+    : transport(std::make_unique<Transport>(context))
     , endpoint(std::move(endpoint))
     , callbacks(std::move(callbacks))
 {
-    this->wire->message.version(11);
-    this->wire->message.set(http::field::host, this->endpoint.address().to_string());
+    this->transport->message.version(11);
+    this->transport->message.set(http::field::host, this->endpoint.address().to_string());
 }
 
 LoadConnection::~LoadConnection() = default;
@@ -48,7 +48,7 @@
 {
     this->busy = true;
     this->reader.reset();
-    auto &message = this->wire->message;
+    auto &message = this->transport->message;
     message.method_string(request.method);
     message.target(request.target);
     message.set("Sagecrank-Call-Id", request.callId);
@@ -62,7 +62,7 @@
         message.set("Idempotency-Key", request.key);
     message.body() = request.body;
     message.prepare_payload();
-    if (this->wire->socket.is_open())
+    if (this->transport->socket.is_open())
         this->write();
     else
         this->connect();
@@ -70,26 +70,27 @@
 
 void LoadConnection::connect()
 {
-    this->wire->socket.async_connect(
-        this->endpoint, [self = this->shared_from_this(), mine = this->generation](const error_code &error) {
-            if (mine != self->generation || !self->busy)
+    this->transport->socket.async_connect(
+        this->endpoint,
+        [self = this->shared_from_this(), generation = this->generation](const error_code &error) {
+            if (generation != self->generation || !self->busy)
                 return;
             if (error)
                 return self->fail("connect");
             error_code ignored;
-            self->wire->socket.set_option(asio::ip::tcp::no_delay(true), ignored);
+            self->transport->socket.set_option(asio::ip::tcp::no_delay(true), ignored);
             self->write();
         });
 }
 
 void LoadConnection::write()
 {
-    http::async_write(
-        this->wire->socket, this->wire->message,
-        [self = this->shared_from_this(), mine = this->generation](const error_code &error, std::size_t) {
-            if (error && mine == self->generation)
-                self->fail("send");
-        });
+    http::async_write(this->transport->socket, this->transport->message,
+                      [self = this->shared_from_this(),
+                       generation = this->generation](const error_code &error, std::size_t) {
+                          if (error && generation == self->generation)
+                              self->fail("send");
+                      });
     this->read();
 }
 
@@ -98,23 +99,23 @@
     if (this->reading)
         return;
     this->reading = true;
-    this->wire->socket.async_read_some(asio::buffer(this->wire->buffer),
-                                       [self = this->shared_from_this(),
-                                        mine = this->generation](const error_code &error, std::size_t size) {
-                                           if (mine != self->generation)
-                                               return;
-                                           self->reading = false;
-                                           if (error)
-                                               return self->fail("closed");
-                                           self->received(size);
-                                       });
+    this->transport->socket.async_read_some(asio::buffer(this->transport->buffer),
+                                            [self = this->shared_from_this(), generation = this->generation](
+                                                const error_code &error, std::size_t size) {
+                                                if (generation != self->generation)
+                                                    return;
+                                                self->reading = false;
+                                                if (error)
+                                                    return self->fail("closed");
+                                                self->onBytesRead(size);
+                                            });
 }
 
-void LoadConnection::received(std::size_t size)
+void LoadConnection::onBytesRead(std::size_t size)
 {
     if (!this->busy)
-        return this->close(); // Bytes that nobody asked for.
-    const ReadProgress progress = this->reader.feed(std::string_view(this->wire->buffer.data(), size));
+        return this->close(); // No request is outstanding.
+    const ReadProgress progress = this->reader.feed(std::string_view(this->transport->buffer.data(), size));
     if (progress == ReadProgress::Malformed)
         return this->fail("malformed");
     if (progress == ReadProgress::Incomplete)
@@ -144,7 +145,7 @@
     ++this->generation;
     this->reading = false;
     error_code ignored;
-    this->wire->socket.close(ignored);
+    this->transport->socket.close(ignored);
 }
 
 } // namespace Sagecrank
--- a/Utilities/Load/LoadConnection.h
+++ b/Utilities/Load/LoadConnection.h
@@ -1,5 +1,5 @@
-// One kept connection to a node or an upstream, with at most one request on it. Reconnects when it is asked
-// to send and is not open.
+// A persistent connection to a node or an upstream, with at most one outstanding request. send() reconnects
+// if it is closed.
 #pragma once
 
 #include <Load/ResponseReader.h>
@@ -18,15 +18,15 @@
     std::string method;
     std::string target;
     std::string callId;
-    std::string key; // Empty: no idempotency key.
+    std::string key; // Idempotency key; empty: none.
     std::string body;
-    std::string deadline; // Milliseconds as text; empty: none is told.
+    std::string deadline; // In milliseconds; empty: no deadline header.
 };
 
 class LoadConnection : public std::enable_shared_from_this<LoadConnection>
 {
 public:
-    // One of the two is called once for each send().
+    // Exactly one of the two is called for each send(), unless close() is called.
     struct Callbacks
     {
         std::function<void(LoadConnection &, const Response &)> onResponse;
@@ -40,33 +40,32 @@
     LoadConnection &operator=(const LoadConnection &) = delete;
 
     void send(const OutgoingRequest &request);
-    // Gives the request up: closes the connection and reports it broken with this reason.
+    // Closes the connection and reports the failure of its request with this reason.
     void abort(const std::string &reason);
-    // Ends the connection without a report.
+    // Closes the connection without a callback.
     void close();
 
     bool isBusy() const { return this->busy; }
 
-    // Which call is on it; kept for the owner.
+    // The call on the connection; set and read by the owner only.
     std::size_t call = 0;
 
 private:
-    struct Wire; // Only the .cpp file knows what is in it.
+    struct Transport;
 
     void connect();
     void write();
     void read();
-    void received(std::size_t size);
+    void onBytesRead(std::size_t size);
     void fail(const std::string &reason);
 
-    std::unique_ptr<Wire> wire;
+    std::unique_ptr<Transport> transport;
     boost::asio::ip::tcp::endpoint endpoint;
     Callbacks callbacks;
     ResponseReader reader;
-    bool busy = false;    // A request waits for its answer.
-    bool reading = false; // At most one read is pending.
-    std::uint64_t generation =
-        0; // Counts sockets, so that the end of an old one is not taken for the new one's.
+    bool busy = false;            // A request is outstanding.
+    bool reading = false;         // At most one read is pending.
+    std::uint64_t generation = 0; // Incremented on close; callbacks of an earlier socket are ignored.
 };
 
 } // namespace Sagecrank
--- a/Utilities/Load/LoadStatistics.cpp
+++ b/Utilities/Load/LoadStatistics.cpp
@@ -1,4 +1,4 @@
-// Adding up and judging.
+// Implements LoadStatistics.h.
 #include <Load/LoadStatistics.h>
 
 namespace Sagecrank {
--- a/Utilities/Load/LoadStatistics.h
+++ b/Utilities/Load/LoadStatistics.h
@@ -1,5 +1,5 @@
-// What became of the calls of one run: counted by way (through a node or direct to the upstream) and by
-// kind of call.
+// The outcomes and latencies of the calls of a run, by traffic path (through a node or direct to an upstream)
+// and by call kind.
 #pragma once
 
 #include <Load/LatencyHistogram.h>
@@ -19,13 +19,14 @@
 enum class TrafficPath { ThroughNode, Direct };
 
 enum class FinalOutcome {
-    Done,    // Ran and was answered, whatever the status below 500.
-    Failed,  // Ran and the upstream answered with a failure of its own.
-    NotRun,  // Refused; promised not to have run.
+    Done,    // Ran and got a response with a status below 500.
+    Failed,  // Ran and the upstream responded with a status of 500 or above.
+    NotRun,  // Refused; guaranteed not to have run.
     Unknown, // May have run.
-    Broken,  // No answer: the connection broke or was refused, or the caller gave up.
-    Wrong,   // The answer belongs to another request or is not whole.
-    Unsent,  // The tool itself had no connection or room left; the run says nothing about these.
+    Broken,  // No response: the connection failed or was refused, or the call timed out.
+    Wrong,   // The response is for another request or incomplete.
+    Unsent,  // The tool had no free connection or too many active calls; says nothing about the system under
+             // test.
 };
 
 inline constexpr EnumNames<FinalOutcome, 7> finalOutcomeNames{{
@@ -41,12 +42,12 @@
 struct KindStatistics
 {
     std::array<std::uint64_t, 7> outcomes{};      // By FinalOutcome.
-    std::map<std::string, std::uint64_t> reasons; // Of refusals and of broken calls.
+    std::map<std::string, std::uint64_t> reasons; // Counts by outcome and reason, of all calls but Done.
     std::uint64_t retries = 0;
-    std::uint64_t withinDeadline = 0; // Done before the deadline.
+    std::uint64_t withinDeadline = 0; // Done before the deadline; without a deadline, all of Done.
     std::uint64_t replayed = 0;
-    LatencyHistogram doneLatency;    // From the intended start of the first attempt to the final answer.
-    LatencyHistogram refusedLatency; // The same for calls that ended as not run.
+    LatencyHistogram doneLatency;    // From the intended start of the first attempt to the final response.
+    LatencyHistogram refusedLatency; // The same for calls that ended as NotRun.
 
     std::uint64_t count(FinalOutcome outcome) const
     {
@@ -64,8 +65,8 @@
             list.resize(kinds);
     }
 
-    std::array<std::vector<KindStatistics>, 2> byTrafficPath; // By TrafficPath, then in the mix's order.
-    LatencyHistogram sendLag; // How late the tool itself sent: from the intended to the real start.
+    std::array<std::vector<KindStatistics>, 2> byTrafficPath; // By TrafficPath, then by index in the mix.
+    LatencyHistogram sendLag; // Delay from the intended start of a call to its first send.
 
     KindStatistics &kind(TrafficPath trafficPath, std::size_t index)
     {
@@ -75,8 +76,8 @@
     void merge(const LoadStatistics &other);
 };
 
-// What an answer says. Without the outcome header (the upstream itself answers direct calls) the status
-// decides.
+// Classifies a response by its outcome header, or by its status if there is none, as in direct calls to an
+// upstream.
 FinalOutcome classifyResponse(const Response &response);
 
 } // namespace Sagecrank
--- a/Utilities/Load/Main.cpp
+++ b/Utilities/Load/Main.cpp
@@ -1,5 +1,5 @@
-// sagecrank-load: offers calls to nodes on a schedule that does not wait for answers, and reports what
-// callers got: latency from the intended start, outcomes by kind, and the latency that the nodes added.
+// sagecrank-load: an open-loop load generator for nodes. Reports what callers observe: the latency from the
+// intended start, the outcomes by call kind, and the latency that the nodes add.
 #include <Load/Generator.h>
 #include <Load/Report.h>
 
@@ -19,7 +19,7 @@
 
 namespace {
 
-constexpr int exitWrongAnswers = 3; // At least one answer belonged to another request or was not whole.
+constexpr int exitWrongResponses = 3; // At least one response was for another request or incomplete.
 
 struct LoadArguments
 {
@@ -33,7 +33,7 @@
     bool noCheck = false;
 };
 
-options::options_description describe(LoadArguments &line)
+options::options_description makeOptions(LoadArguments &line)
 {
     LoadSettings &load = line.load;
     options::options_description description(
@@ -91,10 +91,10 @@
     return parseMix(text, source);
 }
 
-Result<LoadSettings> settle(LoadArguments line)
+Result<LoadSettings> makeSettings(LoadArguments line)
 {
-    const auto invalid = [](const char *what) {
-        return makeError(ErrorKind::InvalidInput, "read options", "", what);
+    const auto invalid = [](const char *message) {
+        return makeError(ErrorKind::InvalidInput, "read options", "", message);
     };
     LoadSettings load = std::move(line.load);
     const auto arrivals = arrivalKindNames.value(line.arrivals);
@@ -118,7 +118,7 @@
     return load;
 }
 
-LoadStatistics runAll(const LoadSettings &settings)
+LoadStatistics runGenerators(const LoadSettings &settings)
 {
     HistoryRecorder history("load", settings.history);
     std::vector<std::unique_ptr<Generator>> generators;
@@ -139,18 +139,18 @@
 int run(LoadArguments line)
 {
     const bool json = line.json;
-    const Result<LoadSettings> settings = settle(std::move(line));
+    const Result<LoadSettings> settings = makeSettings(std::move(line));
     if (!settings) {
         std::cerr << settings.error().describe() << "\n";
         return exitUsage;
     }
-    const LoadStatistics statistics = runAll(settings.value());
+    const LoadStatistics statistics = runGenerators(settings.value());
     std::ostream &out = settings.value().history ? std::cerr : std::cout;
     out << (json ? formatJsonReport(settings.value(), statistics)
                  : formatTextReport(settings.value(), statistics));
     const bool wrong = statistics.mergedKinds(TrafficPath::ThroughNode).count(FinalOutcome::Wrong) != 0
                        || statistics.mergedKinds(TrafficPath::Direct).count(FinalOutcome::Wrong) != 0;
-    return wrong ? exitWrongAnswers : 0;
+    return wrong ? exitWrongResponses : 0;
 }
 
 } // namespace
@@ -159,9 +159,9 @@
 {
     LoadArguments line;
     options::variables_map values;
-    const char *exits = "Exit: 0, 2 for bad options, 3 if an answer was wrong.\n";
+    const char *exitCodeHelp = "Exit: 0, 2 for bad options, 3 if an answer was wrong.\n";
     if (const auto exitCode =
-            readCommandLine(CommandLine{exits, describe(line), {}}, count, arguments, values))
+            readCommandLine(CommandLine{exitCodeHelp, makeOptions(line), {}}, count, arguments, values))
         return *exitCode;
     try {
         return run(std::move(line));
--- a/Utilities/Load/Mix.cpp
+++ b/Utilities/Load/Mix.cpp
@@ -1,4 +1,4 @@
-// Reads mixes.
+// Implements Mix.h.
 #include <Load/Mix.h>
 
 #include <charconv>
@@ -20,7 +20,7 @@
     }
 }
 
-bool hasControl(std::string_view text)
+bool hasSpaceOrControl(std::string_view text)
 {
     for (const char character : text) {
         if (static_cast<unsigned char>(character) <= ' ')
@@ -46,8 +46,8 @@
         return malformed("the share must be a number above zero");
     entry.method = parts[2];
     entry.path = parts[3];
-    if (entry.method.empty() || hasControl(entry.method) || !entry.path.starts_with("/")
-        || hasControl(entry.path))
+    if (entry.method.empty() || hasSpaceOrControl(entry.method) || !entry.path.starts_with("/")
+        || hasSpaceOrControl(entry.path))
         return malformed("the method or the path cannot be sent");
     const auto callClass = callClassNames.value(parts[4]);
     if (!callClass)
--- a/Utilities/Load/Mix.h
+++ b/Utilities/Load/Mix.h
@@ -1,4 +1,4 @@
-// The kinds of call that a run is made of.
+// The mix of call kinds in a run.
 #pragma once
 
 #include <LibConfig/Model.h>
@@ -13,20 +13,20 @@
 struct MixEntry
 {
     std::string name;
-    double share = 1; // In proportion to the others' shares.
+    double share = 1; // Relative to the shares of the other entries.
     std::string method = "GET";
-    std::string path = "/"; // "{n}" stands for a number drawn with the run's skew.
+    std::string path = "/"; // "{n}" is replaced by a random number with the skew of the run.
     CallClass callClass = CallClass::Interactive;
-    bool keyed = false; // Each call carries an idempotency key, which its retries repeat.
+    bool keyed = false; // Each call has an idempotency key, which its retries reuse.
 
-    // May be sent again when it is not known whether it ran.
+    // Whether a call with an unknown outcome may be retried.
     bool isSafeToRetry() const { return this->keyed || this->callClass != CallClass::NonIdempotent; }
 };
 
-// "name:share:method:path:class[:keyed]". Errors: InvalidInput.
+// Parses "name:share:method:path:class[:keyed]". Errors: InvalidInput.
 Result<MixEntry> parseMixEntry(std::string_view text);
 
-// One entry a line; empty lines and lines that begin with # are left out. Errors name the line.
+// Parses one entry per line; empty lines and lines that start with # are skipped. Errors name the line.
 Result<std::vector<MixEntry>> parseMix(std::string_view text, std::string_view file);
 
 } // namespace Sagecrank
--- a/Utilities/Load/Report.cpp
+++ b/Utilities/Load/Report.cpp
@@ -1,4 +1,4 @@
-// Prints tallies.
+// Implements Report.h.
 #include <Load/Report.h>
 
 #include <boost/json.hpp>
@@ -11,56 +11,56 @@
 
 namespace {
 
-struct Share
+struct Quantile
 {
     const char *name;
     double value;
 };
 
-constexpr Share shares[] = {{"p50", 0.5}, {"p90", 0.9}, {"p99", 0.99}, {"p99.9", 0.999}};
+constexpr Quantile quantiles[] = {{"p50", 0.5}, {"p90", 0.9}, {"p99", 0.99}, {"p99.9", 0.999}};
 
-double milliseconds(Duration duration)
+double toMilliseconds(Duration duration)
 {
     return std::chrono::duration<double, std::milli>(duration).count();
 }
 
-std::string formatted(const char *format, auto... values)
+std::string format(const char *pattern, auto... values)
 {
     char text[256];
-    std::snprintf(text, sizeof(text), format, values...);
+    std::snprintf(text, sizeof(text), pattern, values...);
     return text;
 }
 
 std::string quantilesText(const LatencyHistogram &latencies)
 {
     std::string text;
-    for (const Share &share : shares)
-        text += formatted(" %s %.3f", share.name, milliseconds(latencies.quantile(share.value)));
+    for (const Quantile &quantile : quantiles)
+        text += format(" %s %.3f", quantile.name, toMilliseconds(latencies.quantile(quantile.value)));
     return text + " ms";
 }
 
 std::string kindText(const std::string &name, const KindStatistics &statistics, double seconds)
 {
-    std::string text = formatted("  %-12s %9llu calls, in time %.1f/s, done", name.c_str(),
-                                 static_cast<unsigned long long>(statistics.total()),
-                                 static_cast<double>(statistics.withinDeadline) / seconds);
+    std::string text = format("  %-12s %9llu calls, in time %.1f/s, done", name.c_str(),
+                              static_cast<unsigned long long>(statistics.total()),
+                              static_cast<double>(statistics.withinDeadline) / seconds);
     text += quantilesText(statistics.doneLatency) + "\n   ";
     for (const auto &[outcome, label] : finalOutcomeNames.rows) {
         if (statistics.count(outcome) != 0)
-            text += formatted(" %s=%llu", label.data(),
-                              static_cast<unsigned long long>(statistics.count(outcome)));
+            text +=
+                format(" %s=%llu", label.data(), static_cast<unsigned long long>(statistics.count(outcome)));
     }
-    text += formatted(" retries=%llu replayed=%llu", static_cast<unsigned long long>(statistics.retries),
-                      static_cast<unsigned long long>(statistics.replayed));
+    text += format(" retries=%llu replayed=%llu", static_cast<unsigned long long>(statistics.retries),
+                   static_cast<unsigned long long>(statistics.replayed));
     for (const auto &[reason, count] : statistics.reasons)
-        text += formatted(" [%s]=%llu", reason.c_str(), static_cast<unsigned long long>(count));
+        text += format(" [%s]=%llu", reason.c_str(), static_cast<unsigned long long>(count));
     if (statistics.refusedLatency.count() != 0)
         text += " refused after" + quantilesText(statistics.refusedLatency);
     return text + "\n";
 }
 
-std::string routeText(const char *title, const LoadSettings &settings, const LoadStatistics &statistics,
-                      TrafficPath trafficPath)
+std::string trafficPathText(const char *title, const LoadSettings &settings, const LoadStatistics &statistics,
+                            TrafficPath trafficPath)
 {
     std::string text =
         std::string(title) + ":\n" + kindText("all", statistics.mergedKinds(trafficPath), settings.seconds);
@@ -73,8 +73,8 @@
 json::object quantilesJson(const LatencyHistogram &latencies)
 {
     json::object object;
-    for (const Share &share : shares)
-        object[share.name] = milliseconds(latencies.quantile(share.value));
+    for (const Quantile &quantile : quantiles)
+        object[quantile.name] = toMilliseconds(latencies.quantile(quantile.value));
     return object;
 }
 
@@ -96,8 +96,8 @@
     return object;
 }
 
-json::object routeJson(const LoadSettings &settings, const LoadStatistics &statistics,
-                       TrafficPath trafficPath)
+json::object trafficPathJson(const LoadSettings &settings, const LoadStatistics &statistics,
+                             TrafficPath trafficPath)
 {
     json::object object = kindJson(statistics.mergedKinds(trafficPath), settings.seconds);
     json::object kinds;
@@ -113,24 +113,24 @@
 std::string formatTextReport(const LoadSettings &settings, const LoadStatistics &statistics)
 {
     std::string text =
-        formatted("%.0f calls/s offered (%s) for %.1f s after %.1f s of warm-up, seed %llu\n", settings.rate,
-                  arrivalKindNames.name(settings.arrivals).data(), settings.seconds, settings.warmupSeconds,
-                  static_cast<unsigned long long>(settings.seed));
+        format("%.0f calls/s offered (%s) for %.1f s after %.1f s of warm-up, seed %llu\n", settings.rate,
+               arrivalKindNames.name(settings.arrivals).data(), settings.seconds, settings.warmupSeconds,
+               static_cast<unsigned long long>(settings.seed));
     text += "latency from the intended start; the tool itself sent late by"
             + quantilesText(statistics.sendLag) + "\n";
     if (!settings.targets.empty())
-        text += routeText("through nodes", settings, statistics, TrafficPath::ThroughNode);
+        text += trafficPathText("through nodes", settings, statistics, TrafficPath::ThroughNode);
     if (!settings.direct.empty())
-        text += routeText("direct to upstreams", settings, statistics, TrafficPath::Direct);
+        text += trafficPathText("direct to upstreams", settings, statistics, TrafficPath::Direct);
     if (settings.targets.empty() || settings.direct.empty())
         return text;
     const LatencyHistogram through = statistics.mergedKinds(TrafficPath::ThroughNode).doneLatency;
     const LatencyHistogram direct = statistics.mergedKinds(TrafficPath::Direct).doneLatency;
     text += "added latency (difference of the quantiles):";
-    for (const Share &share : shares) {
-        text += formatted(" %s %.3f", share.name,
-                          milliseconds(through.quantile(share.value))
-                              - milliseconds(direct.quantile(share.value)));
+    for (const Quantile &quantile : quantiles) {
+        text += format(" %s %.3f", quantile.name,
+                       toMilliseconds(through.quantile(quantile.value))
+                           - toMilliseconds(direct.quantile(quantile.value)));
     }
     return text + " ms\n";
 }
@@ -143,16 +143,16 @@
     object["seed"] = settings.seed;
     object["send_lag_ms"] = quantilesJson(statistics.sendLag);
     if (!settings.targets.empty())
-        object["through"] = routeJson(settings, statistics, TrafficPath::ThroughNode);
+        object["through"] = trafficPathJson(settings, statistics, TrafficPath::ThroughNode);
     if (!settings.direct.empty())
-        object["direct"] = routeJson(settings, statistics, TrafficPath::Direct);
+        object["direct"] = trafficPathJson(settings, statistics, TrafficPath::Direct);
     if (!settings.targets.empty() && !settings.direct.empty()) {
         json::object added;
         const LatencyHistogram through = statistics.mergedKinds(TrafficPath::ThroughNode).doneLatency;
         const LatencyHistogram direct = statistics.mergedKinds(TrafficPath::Direct).doneLatency;
-        for (const Share &share : shares)
-            added[share.name] =
-                milliseconds(through.quantile(share.value)) - milliseconds(direct.quantile(share.value));
+        for (const Quantile &quantile : quantiles)
+            added[quantile.name] = toMilliseconds(through.quantile(quantile.value))
+                                   - toMilliseconds(direct.quantile(quantile.value));
         object["added_ms"] = std::move(added);
     }
     return json::serialize(object) + "\n";
--- a/Utilities/Load/Report.h
+++ b/Utilities/Load/Report.h
@@ -1,4 +1,4 @@
-// The result of a run as text for people and as JSON.
+// Formats the statistics of a run as text and as JSON.
 #pragma once
 
 #include <Load/LoadStatistics.h>
--- a/Utilities/Load/ResponseReader.cpp
+++ b/Utilities/Load/ResponseReader.cpp
@@ -1,4 +1,4 @@
-// A Beast parser that picks out fields as they pass instead of storing them all.
+// Implements ResponseReader.h with a Beast parser that stores only the headers of interest.
 #include <Load/ResponseReader.h>
 
 #include <boost/beast/http/basic_parser.hpp>
@@ -22,23 +22,23 @@
 
     void begin()
     {
-        this->machine.emplace(this->response);
-        this->machine->eager(true);
+        this->beastParser.emplace(this->response);
+        this->beastParser->eager(true);
     }
 
     std::size_t put(std::string_view bytes, error_code &error)
     {
-        return this->machine->put(boost::asio::const_buffer(bytes.data(), bytes.size()), error);
+        return this->beastParser->put(boost::asio::const_buffer(bytes.data(), bytes.size()), error);
     }
 
-    bool done() const { return this->machine->is_done(); }
-    bool keepAlive() const { return this->machine->keep_alive(); }
+    bool done() const { return this->beastParser->is_done(); }
+    bool keepAlive() const { return this->beastParser->keep_alive(); }
 
 private:
-    class Machine : public http::basic_parser<false>
+    class BeastParser : public http::basic_parser<false>
     {
     public:
-        explicit Machine(Response &response)
+        explicit BeastParser(Response &response)
             : response(response)
         {
         }
@@ -51,8 +51,8 @@
         }
         void on_field_impl(http::field, BeastView name, BeastView value, error_code &) override
         {
-            constexpr std::size_t prefix = 10; // "Sagecrank-"
-            if (name.size() <= prefix || (name[0] != 'S' && name[0] != 's'))
+            constexpr std::size_t prefixLength = 10; // "Sagecrank-"
+            if (name.size() <= prefixLength || (name[0] != 'S' && name[0] != 's'))
                 return;
             const std::string_view text(value.data(), value.size());
             if (boost::beast::iequals(name, "Sagecrank-Outcome"))
@@ -86,11 +86,11 @@
     };
 
     Response &response;
-    std::optional<Machine> machine;
+    std::optional<BeastParser> beastParser;
 };
 
 ResponseReader::ResponseReader()
-    : parser(std::make_unique<Parser>(this->current))
+    : parser(std::make_unique<Parser>(this->currentResponse))
 {
     this->reset();
 }
@@ -99,14 +99,14 @@
 
 void ResponseReader::reset()
 {
-    this->current.status = 0;
-    this->current.keepAlive = true;
-    this->current.replayed = false;
-    this->current.retryAfterMilliseconds = 0;
-    this->current.outcome.clear();
-    this->current.reason.clear();
-    this->current.callId.clear();
-    this->current.body.clear();
+    this->currentResponse.status = 0;
+    this->currentResponse.keepAlive = true;
+    this->currentResponse.replayed = false;
+    this->currentResponse.retryAfterMilliseconds = 0;
+    this->currentResponse.outcome.clear();
+    this->currentResponse.reason.clear();
+    this->currentResponse.callId.clear();
+    this->currentResponse.body.clear();
     this->pending.clear();
     this->parser->begin();
 }
@@ -119,19 +119,19 @@
     }
     while (!bytes.empty()) {
         error_code error;
-        const std::size_t used = this->parser->put(bytes, error);
-        bytes.remove_prefix(used);
+        const std::size_t consumed = this->parser->put(bytes, error);
+        bytes.remove_prefix(consumed);
         if (this->parser->done()) {
-            this->current.keepAlive = this->parser->keepAlive();
+            this->currentResponse.keepAlive = this->parser->keepAlive();
             return bytes.empty() && !error ? ReadProgress::Complete : ReadProgress::Malformed;
         }
         if (error && error != http::error::need_more)
             return ReadProgress::Malformed;
-        if (error == http::error::need_more || used == 0)
+        if (error == http::error::need_more || consumed == 0)
             break;
     }
-    const std::string rest(bytes);
-    this->pending = rest;
+    const std::string unparsed(bytes);
+    this->pending = unparsed;
     return ReadProgress::Incomplete;
 }
 
--- a/Utilities/Load/ResponseReader.h
+++ b/Utilities/Load/ResponseReader.h
@@ -1,5 +1,5 @@
-// Reads one HTTP answer after the other from a connection's bytes, keeping only what the load tool looks at.
-// Memory is kept between answers.
+// Parses the HTTP responses on a connection one after the other, and keeps only the fields that the load tool
+// uses. Buffers are reused between responses.
 #pragma once
 
 #include <cstddef>
@@ -16,7 +16,7 @@
     bool keepAlive = true;
     bool replayed = false;
     std::uint64_t retryAfterMilliseconds = 0;
-    std::string outcome; // Header Sagecrank-Outcome; empty when there is none.
+    std::string outcome; // Header Sagecrank-Outcome; empty if absent.
     std::string reason;
     std::string callId; // Header Sagecrank-Call-Id.
     std::string body;
@@ -32,17 +32,17 @@
     ResponseReader(const ResponseReader &) = delete;
     ResponseReader &operator=(const ResponseReader &) = delete;
 
-    // Begins a new answer.
+    // Starts a new response.
     void reset();
-    // Takes more bytes. What comes after a complete answer makes it Malformed, since nothing was asked.
+    // Parses more bytes. Bytes after a complete response make it Malformed, since no request is outstanding.
     ReadProgress feed(std::string_view bytes);
-    const Response &response() const { return this->current; }
+    const Response &response() const { return this->currentResponse; }
 
 private:
     class Parser;
 
-    Response current;
-    std::string pending; // Bytes of a header that is not whole yet.
+    Response currentResponse;
+    std::string pending; // Bytes of an incomplete header.
     std::unique_ptr<Parser> parser;
 };
 
--- a/Utilities/Load/Schedule.cpp
+++ b/Utilities/Load/Schedule.cpp
@@ -1,4 +1,4 @@
-// Arithmetic of arrivals and choices.
+// Implements Schedule.h.
 #include <Load/Schedule.h>
 
 #include <algorithm>
--- a/Utilities/Load/Schedule.h
+++ b/Utilities/Load/Schedule.h
@@ -1,5 +1,5 @@
-// When calls are meant to start and where they go. The schedule does not look at answers: a slow system gets
-// the same arrivals as a fast one, so its slowness is seen in full (open loop).
+// Arrival times and random choices of an open-loop load. Arrivals do not depend on responses, so a slow
+// system gets the same load as a fast one and its full latency is measured.
 #pragma once
 
 #include <LibCore/EnumNames.h>
@@ -22,10 +22,10 @@
 class ArrivalSchedule
 {
 public:
-    // `rate` in calls a second, above zero.
+    // `rate` is in calls per second and above zero.
     ArrivalSchedule(ArrivalKind kind, double rate, std::uint64_t seed);
 
-    // From the start of the run; never earlier than the one before.
+    // Returns the next arrival, relative to the start of the run; never earlier than the previous one.
     Duration next();
 
 private:
@@ -35,7 +35,8 @@
     std::mt19937_64 random;
 };
 
-// Draws from 0 to count - 1; rank r is drawn in proportion to 1 / (r + 1)^skew, so a skew of zero is uniform.
+// Zipf distribution over 0 to count - 1: the probability of r is proportional to 1 / (r + 1)^skew, so a skew
+// of zero is uniform.
 class ZipfChoice
 {
 public:
@@ -44,10 +45,10 @@
     std::size_t draw(std::mt19937_64 &random) const;
 
 private:
-    std::vector<double> cumulative; // Rises to 1.
+    std::vector<double> cumulative; // Cumulative probabilities, up to 1.
 };
 
-// Draws an index in proportion to its share.
+// Draws an index with a probability proportional to its share.
 class WeightedChoice
 {
 public:
@@ -56,7 +57,7 @@
     std::size_t draw(std::mt19937_64 &random) const;
 
 private:
-    std::vector<double> cumulative; // Rises to 1.
+    std::vector<double> cumulative; // Cumulative probabilities, up to 1.
 };
 
 } // namespace Sagecrank
