--- a/Tests/LibDecide/TestOutcomes.cpp
+++ b/Tests/LibDecide/TestOutcomes.cpp
@@ -54,7 +54,7 @@
 // Share of all callers of a class that were refused late.
 double lateRefusals(const ClassOutcome &got)
 {
-    const auto late = std::count_if(got.refusals.begin(), got.refusals.end(),
+    const auto late = std::count_if(got.refusalLatencies.begin(), got.refusalLatencies.end(),
                                     [](Duration took) { return took > promptRefusal; });
     return got.share(static_cast<std::uint64_t>(late));
 }
@@ -71,17 +71,17 @@
 
 TABLE_TEST(outcomes, callersAreServedInTimeOrRefusedPromptly, outcomeRows)
 {
-    for (const FleetShape &fleet : todaysFleets()) {
-        const Scenario scenario = scenarioNamed(fleet, row.scenario);
+    for (const FleetShape &fleet : currentFleets()) {
+        const Scenario scenario = findScenario(fleet, row.scenario);
         cr_assert(scenario.name == row.scenario);
-        const Outcome outcome = FakeFleet(fleet, scenario, ours(), seed).run();
+        const Outcome outcome = FakeFleet(fleet, scenario, sagecrankPolicy(), seed).run();
         cr_assert_eq(outcome.ranAfterRefusal, 0U);
         cr_assert_eq(outcome.ranTwice, 0U);
         cr_assert_eq(outcome.overSlots, 0U);
-        cr_assert_eq(outcome.neverEnded, 0U);
-        cr_assert_eq(outcome.cutByDrain, 0U);
-        cr_assert_eq(outcome.lateToDraining, 0U);
-        cr_assert_eq(outcome.refusedWithoutReturn, 0U);
+        cr_assert_eq(outcome.unanswered, 0U);
+        cr_assert_eq(outcome.interruptedByDrain, 0U);
+        cr_assert_eq(outcome.sentToDraining, 0U);
+        cr_assert_eq(outcome.refusedWithoutRetryAfter, 0U);
         for (std::size_t index = 0; index < 3; ++index) {
             const ClassOutcome &got = outcome.classes[index];
             cr_assert_geq(got.share(got.inTime), row.inTime[index], "%s %s class %zu: in time %f",
@@ -90,13 +90,13 @@
                           fleet.name.c_str(), row.scenario, index, got.share(got.served));
             cr_assert_leq(lateRefusals(got), row.lateRefusals, "%s %s class %zu: refused late %f",
                           fleet.name.c_str(), row.scenario, index, lateRefusals(got));
-            if (got.refusals.size() >= minimumRefusals)
-                cr_assert(quantile(got.refusals, 0.95) <= promptRefusal,
+            if (got.refusalLatencies.size() >= minimumRefusals)
+                cr_assert(quantile(got.refusalLatencies, 0.95) <= promptRefusal,
                           "%s %s class %zu: most are refused late", fleet.name.c_str(), row.scenario, index);
         }
         if (!row.beatsRoundRobin)
             continue;
-        const Outcome plain = FakeFleet(fleet, scenario, roundRobin(), seed).run();
+        const Outcome plain = FakeFleet(fleet, scenario, roundRobinPolicy(), seed).run();
         cr_assert_gt(share(outcome), share(plain), "%s %s", fleet.name.c_str(), row.scenario);
     }
 }
--- a/Utilities/PolicyBench/Call.h
+++ b/Utilities/PolicyBench/Call.h
@@ -12,16 +12,16 @@
 
 namespace Sagecrank {
 
-enum class Reply : std::uint8_t { Done, Failed, NotRun, Unknown };
+enum class ResponseKind : std::uint8_t { Done, Failed, NotRun, Unknown };
 
-struct Answer
+struct Response
 {
-    Reply reply = Reply::Unknown;
+    ResponseKind kind = ResponseKind::Unknown;
     Duration retryAfter{};
     std::uint32_t freeSlots = 0;
     std::uint32_t queued = 0;
     bool draining = false;
-    bool loadTold = false; // Whether the three above come from a gate.
+    bool hasReportedLoad = false; // Whether the three above come from a gate.
 };
 
 struct Call
@@ -32,21 +32,21 @@
     Duration work{};  // Run time on a healthy upstream.
     std::vector<std::size_t> tried;
     std::uint32_t runs = 0;
-    bool over = false; // The node has given its final answer.
-    std::function<void(const Answer &)> reply;
+    bool finished = false; // The node has given its final answer.
+    std::function<void(const Response &)> onResponse;
 
     // The fake's callers use one key for each non-idempotent call; the other two may run twice.
     bool idempotent() const { return this->callClass != CallClass::NonIdempotent; }
 };
 
-struct Sending
+struct UpstreamAttempt
 {
     std::shared_ptr<Call> call;
     std::size_t upstream = 0; // Index over the whole fleet.
     Instant sentAt;
-    bool over = false;    // Its node waits for no answer any more.
-    bool refused = false; // Its gate said that it did not run.
-    std::function<void(const Answer &)> answer;
+    bool finished = false; // Its node waits for no answer any more.
+    bool refused = false;  // Its gate said that it did not run.
+    std::function<void(const Response &)> onResponse;
 };
 
 } // namespace Sagecrank
--- a/Utilities/PolicyBench/CallerConnections.cpp
+++ b/Utilities/PolicyBench/CallerConnections.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 // As the users gave it for their networks.
-constexpr Duration openingTakes = std::chrono::milliseconds(1);
+constexpr Duration connectTime = std::chrono::milliseconds(1);
 
 } // namespace
 
@@ -18,35 +18,36 @@
 {
 }
 
-void CallerConnections::obtain(Instant until, std::function<void()> use, std::function<void()> without)
+void CallerConnections::acquire(Instant until, std::function<void()> onAcquired,
+                                std::function<void()> onTimeout)
 {
     if (this->idle > 0) {
         this->idle -= 1;
-        return use();
+        return onAcquired();
     }
     if (this->open < this->limit) {
         this->open += 1;
-        return this->timeline.after(openingTakes, std::move(use));
+        return this->timeline.after(connectTime, std::move(onAcquired));
     }
-    const auto caller = std::make_shared<Waiting>(Waiting{std::move(use), false});
+    const auto caller = std::make_shared<Waiter>(Waiter{std::move(onAcquired), false});
     this->waiting.push_back(caller);
-    this->timeline.at(until, [caller, without = std::move(without)] {
-        if (caller->over)
+    this->timeline.at(until, [caller, onTimeout = std::move(onTimeout)] {
+        if (caller->finished)
             return;
-        caller->over = true;
-        without();
+        caller->finished = true;
+        onTimeout();
     });
 }
 
-void CallerConnections::giveBack()
+void CallerConnections::release()
 {
     while (!this->waiting.empty()) {
-        const std::shared_ptr<Waiting> next = this->waiting.front();
+        const std::shared_ptr<Waiter> next = this->waiting.front();
         this->waiting.pop_front();
-        if (next->over)
+        if (next->finished)
             continue;
-        next->over = true;
-        return next->use();
+        next->finished = true;
+        return next->onAcquired();
     }
     this->idle += 1;
 }
--- a/Utilities/PolicyBench/CallerConnections.h
+++ b/Utilities/PolicyBench/CallerConnections.h
@@ -18,21 +18,21 @@
 
     // Calls `use` once a connection is there, or `without` when none was by `until`. What was used is given
     // back.
-    void obtain(Instant until, std::function<void()> use, std::function<void()> without);
-    void giveBack();
+    void acquire(Instant until, std::function<void()> onAcquired, std::function<void()> onTimeout);
+    void release();
 
 private:
-    struct Waiting
+    struct Waiter
     {
-        std::function<void()> use;
-        bool over = false; // Served, or out of patience.
+        std::function<void()> onAcquired;
+        bool finished = false; // Served, or out of patience.
     };
 
     Timeline &timeline;
     std::uint32_t limit;
     std::uint32_t open = 0; // Idle ones are among them. At most the limit.
     std::uint32_t idle = 0;
-    std::deque<std::shared_ptr<Waiting>> waiting; // In order of arrival.
+    std::deque<std::shared_ptr<Waiter>> waiting; // In order of arrival.
 };
 
 } // namespace Sagecrank
--- a/Utilities/PolicyBench/Cost.cpp
+++ b/Utilities/PolicyBench/Cost.cpp
@@ -27,18 +27,18 @@
 {
     std::vector<double> costs;
     for (int round = 0; round < rounds; ++round) {
-        const auto begun = SteadyClock::now();
+        const auto start = SteadyClock::now();
         for (int index = 0; index < callsPerRound; ++index)
             call(round * callsPerRound + index);
-        const std::chrono::duration<double, std::nano> took = SteadyClock::now() - begun;
-        costs.push_back(took.count() / callsPerRound);
+        const std::chrono::duration<double, std::nano> elapsed = SteadyClock::now() - start;
+        costs.push_back(elapsed.count() / callsPerRound);
     }
     std::sort(costs.begin(), costs.end());
     out << "| " << name << " | " << static_cast<int>(costs.front()) << " | "
         << static_cast<int>(costs[costs.size() / 2]) << " |\n";
 }
 
-void printPlacerCost(std::ostream &out, const char *name, std::size_t count)
+void printLoadBalancerCost(std::ostream &out, const char *name, std::size_t count)
 {
     std::vector<std::string> ids;
     for (std::size_t index = 0; index < count; ++index)
@@ -47,22 +47,22 @@
     for (std::size_t index = 0; index < count; ++index)
         candidates.push_back(
             UpstreamCandidate{ids[index], index % 4 == 0, false, UpstreamCondition::Ready, 6});
-    LoadBalancer placer(LoadBalancerSettings{},
-                        [numbers = std::mt19937_64(1)]() mutable { return numbers(); });
+    LoadBalancer loadBalancer(LoadBalancerSettings{},
+                              [random = std::mt19937_64(1)]() mutable { return random(); });
     for (const std::string &id : ids)
-        placer.recordReportedLoad(id, Instant{}, {3, 0, false});
-    std::array<std::size_t, 1> sent{};
+        loadBalancer.recordReportedLoad(id, Instant{}, {3, 0, false});
+    std::array<std::size_t, 1> picked{};
     printCost(out, name, [&](int number) {
         const Instant now = Instant{} + number * 10us;
-        const auto index = placer.pick(now, candidates, CallClass::Interactive, {});
-        sent[0] = *index;
-        placer.recordStart(candidates[*index].id, now);
-        placer.recordEnd(candidates[*index].id, now + 1ms, CallClass::Interactive, 1ms,
-                         AttemptOutcome::Succeeded);
-        placer.recordReportedLoad(candidates[*index].id, now + 1ms, {3, 0, false});
+        const auto index = loadBalancer.pick(now, candidates, CallClass::Interactive, {});
+        picked[0] = *index;
+        loadBalancer.recordStart(candidates[*index].id, now);
+        loadBalancer.recordEnd(candidates[*index].id, now + 1ms, CallClass::Interactive, 1ms,
+                               AttemptOutcome::Succeeded);
+        loadBalancer.recordReportedLoad(candidates[*index].id, now + 1ms, {3, 0, false});
     });
     printCost(out, (std::string(name) + ", place() alone").c_str(), [&](int number) {
-        sent[0] = *placer.pick(Instant{} + number * 10us, candidates, CallClass::Interactive, {});
+        picked[0] = *loadBalancer.pick(Instant{} + number * 10us, candidates, CallClass::Interactive, {});
     });
 }
 
@@ -71,8 +71,8 @@
 void printCosts(std::ostream &out)
 {
     out << "| decision | quickest ns | median ns |\n| --- | ---: | ---: |\n";
-    printPlacerCost(out, "place, started, ended, told; 16 candidates", 16);
-    printPlacerCost(out, "place, started, ended, told; 60 candidates", 60);
+    printLoadBalancerCost(out, "place, started, ended, told; 16 candidates", 16);
+    printLoadBalancerCost(out, "place, started, ended, told; 60 candidates", 60);
 
     Gate gate(GateSettings{});
     std::vector<GateAction> actions;
--- a/Utilities/PolicyBench/FakeNode.cpp
+++ b/Utilities/PolicyBench/FakeNode.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::size_t mostTries = 3;
+constexpr std::size_t maximumAttempts = 3;
 constexpr double retryShare = 0.2;
 constexpr double retryReserve = 10;
 constexpr double hedgeShare = 0.05;
@@ -18,28 +18,29 @@
 
 FakeNode::FakeNode(Timeline &timeline, const Policy &policy, std::uint64_t seed, std::size_t services)
     : timeline(timeline)
-    , budgetsRetries(policy.budgetsRetries)
-    , hedges(policy.hedges)
+    , limitsRetries(policy.limitsRetries)
+    , hedgesCalls(policy.hedgesCalls)
     , budget(retryShare, retryReserve)
     , hedgeBudget(hedgeShare, retryReserve)
     , services(services)
 {
     for (std::size_t service = 0; service < services; ++service)
-        this->services[service].placer = policy.makePlacer(seed * 31 + service);
+        this->services[service].loadBalancer = policy.makeLoadBalancer(seed * 31 + service);
 }
 
-void FakeNode::addCandidate(std::uint32_t service, const UpstreamCandidate &facts, const Candidate &candidate)
+void FakeNode::addCandidate(std::uint32_t service, const UpstreamCandidate &candidate,
+                            const UpstreamLink &link)
 {
-    this->services[service].facts.push_back(facts);
     this->services[service].candidates.push_back(candidate);
+    this->services[service].links.push_back(link);
 }
 
-void FakeNode::learn(std::uint32_t service, std::size_t index, UpstreamCondition condition)
+void FakeNode::setCondition(std::uint32_t service, std::size_t index, UpstreamCondition condition)
 {
     Service &known = this->services[service];
-    for (std::size_t position = 0; position < known.candidates.size(); ++position) {
-        if (known.candidates[position].index == index)
-            known.facts[position].condition = condition;
+    for (std::size_t position = 0; position < known.links.size(); ++position) {
+        if (known.links[position].index == index)
+            known.candidates[position].condition = condition;
     }
 }
 
@@ -47,24 +48,24 @@
 {
     this->budget.recordFirstAttempt(this->timeline.now());
     this->timeline.at(call->deadline, [this, call] {
-        if (!call->over)
-            this->giveUp(call);
+        if (!call->finished)
+            this->timeOut(call);
     });
     this->send(call);
-    this->hedge(call);
+    this->scheduleHedge(call);
 }
 
-void FakeNode::hedge(const std::shared_ptr<Call> &call)
+void FakeNode::scheduleHedge(const std::shared_ptr<Call> &call)
 {
-    if (!this->hedges || call->callClass != CallClass::Interactive)
+    if (!this->hedgesCalls || call->callClass != CallClass::Interactive)
         return;
     this->hedgeBudget.recordFirstAttempt(this->timeline.now());
     const std::optional<Duration> delay = this->hedgeDelay.delay();
     if (!delay)
         return;
     this->timeline.after(*delay, [this, call] {
-        const std::size_t known = this->services[call->service].facts.size();
-        if (call->over || call->tried.size() > 1 || known < 2 || !this->waitsElsewhere(call))
+        const std::size_t known = this->services[call->service].candidates.size();
+        if (call->finished || call->tried.size() > 1 || known < 2 || !this->hasOutstandingAttempt(call))
             return;
         if (this->hedgeBudget.tryAcquireRetry(this->timeline.now()))
             this->send(call);
@@ -75,106 +76,110 @@
 {
     Service &service = this->services[call->service];
     const Instant now = this->timeline.now();
-    const auto position = service.placer.place(now, service.facts, call->callClass, call->tried);
+    const auto position = service.loadBalancer.pick(now, service.candidates, call->callClass, call->tried);
     if (!position) {
-        if (this->waitsElsewhere(call))
+        if (this->hasOutstandingAttempt(call))
             return;
-        this->finish(call, Answer{Reply::NotRun, 250ms, 0, 0, false, false});
+        this->finish(call, Response{ResponseKind::NotRun, 250ms, 0, 0, false, false});
         return;
     }
     call->tried.push_back(*position);
-    const Candidate candidate = service.candidates[*position];
-    const auto sending = std::make_shared<Sending>();
-    sending->call = call;
-    sending->upstream = candidate.index;
-    sending->sentAt = now;
-    sending->answer = [this, weak = std::weak_ptr(sending), at = *position, candidate](const Answer &answer) {
-        const auto answeredSending = weak.lock();
-        if (!answeredSending)
+    const UpstreamLink link = service.links[*position];
+    const auto attempt = std::make_shared<UpstreamAttempt>();
+    attempt->call = call;
+    attempt->upstream = link.index;
+    attempt->sentAt = now;
+    attempt->onResponse = [this, weak = std::weak_ptr(attempt), at = *position,
+                           link](const Response &response) {
+        const auto answeredAttempt = weak.lock();
+        if (!answeredAttempt)
             return;
-        this->timeline.after(candidate.way, [this, answeredSending, at, answer] {
-            this->answered(answeredSending, at, answer);
+        this->timeline.after(link.latency, [this, answeredAttempt, at, response] {
+            this->onResponse(answeredAttempt, at, response);
         });
     };
-    service.placer.started(service.facts[*position].id, now);
-    this->sendings.emplace_back(sending, *position);
-    this->timeline.after(candidate.way, [candidate, sending] { candidate.upstream->receive(sending); });
+    service.loadBalancer.recordStart(service.candidates[*position].id, now);
+    this->attempts.emplace_back(attempt, *position);
+    this->timeline.after(link.latency, [link, attempt] { link.upstream->receive(attempt); });
 }
 
-void FakeNode::answered(const std::shared_ptr<Sending> &sending, std::size_t position, const Answer &answer)
+void FakeNode::onResponse(const std::shared_ptr<UpstreamAttempt> &attempt, std::size_t position,
+                          const Response &response)
 {
-    const std::shared_ptr<Call> call = sending->call;
+    const std::shared_ptr<Call> call = attempt->call;
     Service &service = this->services[call->service];
-    const std::string_view id = service.facts[position].id;
+    const std::string_view id = service.candidates[position].id;
     const Instant now = this->timeline.now();
-    if (!sending->over) {
-        sending->over = true;
-        std::erase_if(this->sendings, [&](const auto &entry) { return entry.first == sending; });
+    if (!attempt->finished) {
+        attempt->finished = true;
+        std::erase_if(this->attempts, [&](const auto &entry) { return entry.first == attempt; });
         AttemptOutcome end = AttemptOutcome::Succeeded;
-        if (answer.reply == Reply::Failed)
+        if (response.kind == ResponseKind::Failed)
             end = AttemptOutcome::Failed;
-        if (answer.reply == Reply::NotRun)
+        if (response.kind == ResponseKind::NotRun)
             end = AttemptOutcome::RefusedNotRun;
-        service.placer.ended(id, now, call->callClass, now - sending->sentAt, end);
+        service.loadBalancer.recordEnd(id, now, call->callClass, now - attempt->sentAt, end);
         if (end == AttemptOutcome::Succeeded && call->callClass == CallClass::Interactive)
-            this->hedgeDelay.observe(now - sending->sentAt);
+            this->hedgeDelay.observe(now - attempt->sentAt);
     }
-    if (answer.loadTold)
-        service.placer.told(id, now, answer.freeSlots, answer.queued, answer.draining);
-    if (call->over || (answer.reply != Reply::Done && this->waitsElsewhere(call)))
+    if (response.hasReportedLoad)
+        service.loadBalancer.recordReportedLoad(id, now, response.freeSlots, response.queued,
+                                                response.draining);
+    if (call->finished || (response.kind != ResponseKind::Done && this->hasOutstandingAttempt(call)))
         return;
-    if (this->sendsAgain(*call, answer.reply))
+    if (this->shouldRetry(*call, response.kind))
         this->send(call);
     else
-        this->finish(call, answer);
+        this->finish(call, response);
 }
 
-bool FakeNode::sendsAgain(const Call &call, Reply reply)
+bool FakeNode::shouldRetry(const Call &call, ResponseKind kind)
 {
-    if (reply == Reply::Done || call.tried.size() >= mostTries || this->timeline.now() >= call.deadline)
+    if (kind == ResponseKind::Done || call.tried.size() >= maximumAttempts
+        || this->timeline.now() >= call.deadline)
         return false;
-    if (!isRetrySafe(CallPhase::Answered, call.idempotent(), reply == Reply::NotRun))
+    if (!isRetrySafe(CallPhase::Answered, call.idempotent(), kind == ResponseKind::NotRun))
         return false;
-    const std::vector<UpstreamCandidate> &facts = this->services[call.service].facts;
-    if (call.tried.size() >= facts.size())
+    const std::vector<UpstreamCandidate> &candidates = this->services[call.service].candidates;
+    if (call.tried.size() >= candidates.size())
         return false;
-    return !this->budgetsRetries || this->budget.tryAcquireRetry(this->timeline.now());
+    return !this->limitsRetries || this->budget.tryAcquireRetry(this->timeline.now());
 }
 
-bool FakeNode::waitsElsewhere(const std::shared_ptr<Call> &call) const
+bool FakeNode::hasOutstandingAttempt(const std::shared_ptr<Call> &call) const
 {
-    return std::any_of(this->sendings.begin(), this->sendings.end(),
+    return std::any_of(this->attempts.begin(), this->attempts.end(),
                        [&](const auto &entry) { return entry.first->call == call; });
 }
 
 // Ends what is still out for the call and cancels it there.
-void FakeNode::dropSendings(const std::shared_ptr<Call> &call, AttemptOutcome end)
+void FakeNode::cancelAttempts(const std::shared_ptr<Call> &call, AttemptOutcome end)
 {
     Service &service = this->services[call->service];
-    for (const auto &[sending, position] : this->sendings) {
-        if (sending->call != call)
+    for (const auto &[attempt, position] : this->attempts) {
+        if (attempt->call != call)
             continue;
         const Instant now = this->timeline.now();
-        const Candidate candidate = service.candidates[position];
-        sending->over = true;
-        service.placer.ended(service.facts[position].id, now, call->callClass, now - sending->sentAt, end);
-        this->timeline.after(candidate.way,
-                             [candidate, cancelled = sending] { candidate.upstream->cancel(cancelled); });
+        const UpstreamLink link = service.links[position];
+        attempt->finished = true;
+        service.loadBalancer.recordEnd(service.candidates[position].id, now, call->callClass,
+                                       now - attempt->sentAt, end);
+        this->timeline.after(link.latency, [link, cancelled = attempt] { link.upstream->cancel(cancelled); });
     }
-    std::erase_if(this->sendings, [&](const auto &entry) { return entry.first->call == call; });
+    std::erase_if(this->attempts, [&](const auto &entry) { return entry.first->call == call; });
 }
 
-void FakeNode::giveUp(const std::shared_ptr<Call> &call)
+void FakeNode::timeOut(const std::shared_ptr<Call> &call)
 {
-    this->dropSendings(call, AttemptOutcome::Unknown);
-    this->finish(call, Answer{});
+    this->cancelAttempts(call, AttemptOutcome::Unknown);
+    this->finish(call, Response{});
 }
 
-void FakeNode::finish(const std::shared_ptr<Call> &call, const Answer &answer)
+void FakeNode::finish(const std::shared_ptr<Call> &call, const Response &response)
 {
-    call->over = true;
-    this->dropSendings(call, AttemptOutcome::Cancelled);
-    call->reply(answer);
+    call->finished = true;
+    this->cancelAttempts(call, AttemptOutcome::Cancelled);
+    call->onResponse(response);
 }
 
 } // namespace Sagecrank
--- a/Utilities/PolicyBench/FakeNode.h
+++ b/Utilities/PolicyBench/FakeNode.h
@@ -18,46 +18,48 @@
 {
 public:
     // One upstream of a service as this node sees it.
-    struct Candidate
+    struct UpstreamLink
     {
         FakeUpstream *upstream;
         std::size_t index; // Over the whole fleet.
-        Duration way;      // One way to it.
+        Duration latency;  // One way to it.
     };
 
     FakeNode(Timeline &timeline, const Policy &policy, std::uint64_t seed, std::size_t services);
 
     // Commands.
 
-    void addCandidate(std::uint32_t service, const UpstreamCandidate &facts, const Candidate &candidate);
-    void learn(std::uint32_t service, std::size_t index, UpstreamCondition condition);
+    void addCandidate(std::uint32_t service, const UpstreamCandidate &candidate, const UpstreamLink &link);
+    void setCondition(std::uint32_t service, std::size_t index, UpstreamCondition condition);
     void receive(const std::shared_ptr<Call> &call);
 
 private:
     struct Service
     {
-        PlacerHooks placer;
-        std::vector<UpstreamCandidate> facts;
-        std::vector<Candidate> candidates; // Beside the facts, in the same order.
+        LoadBalancerHooks loadBalancer;
+        std::vector<UpstreamCandidate> candidates;
+        std::vector<UpstreamLink> links; // Beside the facts, in the same order.
     };
 
     void send(const std::shared_ptr<Call> &call);
-    void answered(const std::shared_ptr<Sending> &sending, std::size_t position, const Answer &answer);
-    bool sendsAgain(const Call &call, Reply reply);
-    void hedge(const std::shared_ptr<Call> &call);
-    bool waitsElsewhere(const std::shared_ptr<Call> &call) const;
-    void dropSendings(const std::shared_ptr<Call> &call, AttemptOutcome end);
-    void giveUp(const std::shared_ptr<Call> &call);
-    void finish(const std::shared_ptr<Call> &call, const Answer &answer);
+    void onResponse(const std::shared_ptr<UpstreamAttempt> &attempt, std::size_t position,
+                    const Response &response);
+    bool shouldRetry(const Call &call, ResponseKind kind);
+    void scheduleHedge(const std::shared_ptr<Call> &call);
+    bool hasOutstandingAttempt(const std::shared_ptr<Call> &call) const;
+    void cancelAttempts(const std::shared_ptr<Call> &call, AttemptOutcome end);
+    void timeOut(const std::shared_ptr<Call> &call);
+    void finish(const std::shared_ptr<Call> &call, const Response &response);
 
     Timeline &timeline;
-    bool budgetsRetries;
-    bool hedges;
+    bool limitsRetries;
+    bool hedgesCalls;
     RetryBudget budget;
     RetryBudget hedgeBudget;
     HedgeDelay hedgeDelay; // Of interactive calls.
     std::vector<Service> services;
-    std::vector<std::pair<std::shared_ptr<Sending>, std::size_t>> sendings; // Not answered, with position.
+    std::vector<std::pair<std::shared_ptr<UpstreamAttempt>, std::size_t>>
+        attempts; // Not answered, with position.
 };
 
 } // namespace Sagecrank
--- a/Utilities/PolicyBench/FakeUpstream.cpp
+++ b/Utilities/PolicyBench/FakeUpstream.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-constexpr Duration failingTakes = 200us;
-constexpr Duration sheddingTakes = 100us;
-constexpr Duration absentOnRestart = 500ms;
+constexpr Duration failureTime = 200us;
+constexpr Duration shedTime = 100us;
+constexpr Duration restartTime = 500ms;
 
 } // namespace
 
@@ -23,7 +23,7 @@
     , makeGate(std::move(makeGate))
     , gate(this->makeGate())
     , slots(slots)
-    , bears(slots)
+    , capacity(slots)
     , announce(std::move(announce))
 {
 }
@@ -48,28 +48,28 @@
         return;
     case FaultKind::Sheds:
         this->timeline.at(from, [this, fault] {
-            this->bears = std::max(1U, static_cast<std::uint32_t>(this->slots * fault.factor));
+            this->capacity = std::max(1U, static_cast<std::uint32_t>(this->slots * fault.factor));
         });
-        this->timeline.at(until, [this] { this->bears = this->slots; });
+        this->timeline.at(until, [this] { this->capacity = this->slots; });
         return;
     case FaultKind::Restarts:
         this->timeline.at(from, [this] {
-            this->breakOff();
+            this->crash();
             this->setCondition(UpstreamCondition::NotReady);
         });
-        this->timeline.at(from + absentOnRestart, [this, fault] {
-            this->warmingUp = fault;
+        this->timeline.at(from + restartTime, [this, fault] {
+            this->warmupFault = fault;
             this->setCondition(UpstreamCondition::Warming);
         });
         this->timeline.at(until, [this] {
-            this->warmingUp.reset();
+            this->warmupFault.reset();
             this->setCondition(UpstreamCondition::Ready);
         });
         return;
     case FaultKind::Drains:
         this->timeline.at(from, [this] { this->setCondition(UpstreamCondition::Draining); });
         this->timeline.at(until, [this] {
-            this->outcome.cutByDrain += this->active.size() + this->waiting.size();
+            this->outcome.interruptedByDrain += this->active.size() + this->waiting.size();
             this->setCondition(UpstreamCondition::NotReady);
         });
         return;
@@ -84,42 +84,42 @@
         this->timeline.at(until, [this] {
             this->silent = false;
             this->gate = this->makeGate();
-            this->watched.reset();
+            this->scheduledDeadline.reset();
             this->setCondition(UpstreamCondition::Ready);
         });
         return;
     }
 }
 
-void FakeUpstream::receive(const std::shared_ptr<Sending> &sending)
+void FakeUpstream::receive(const std::shared_ptr<UpstreamAttempt> &attempt)
 {
     if (this->silent)
         return;
-    if (this->nothingNewAfter && this->timeline.now() > *this->nothingNewAfter
+    if (this->noCallsExpectedAfter && this->timeline.now() > *this->noCallsExpectedAfter
         && this->condition != UpstreamCondition::Ready)
-        this->outcome.lateToDraining += 1;
+        this->outcome.sentToDraining += 1;
     std::vector<GateAction> actions;
-    const CallAttributes facts{sending->call->callClass, sending->call->deadline};
-    const GateDecision decision = this->gate.offer(this->timeline.now(), facts, actions);
+    const CallAttributes attributes{attempt->call->callClass, attempt->call->deadline};
+    const GateDecision decision = this->gate.offer(this->timeline.now(), attributes, actions);
     switch (decision.verdict) {
     case GateVerdict::Start:
-        this->begin(decision.ticket, sending);
+        this->beginRun(decision.ticket, attempt);
         break;
     case GateVerdict::Queue:
-        this->waiting[decision.ticket] = sending;
+        this->waiting[decision.ticket] = attempt;
         break;
     case GateVerdict::Refuse:
-        this->respond(sending, Reply::NotRun, decision.retryAfter);
+        this->respond(attempt, ResponseKind::NotRun, decision.retryAfter);
         break;
     }
     this->apply(actions);
 }
 
-void FakeUpstream::cancel(const std::shared_ptr<Sending> &sending)
+void FakeUpstream::cancel(const std::shared_ptr<UpstreamAttempt> &attempt)
 {
     std::vector<GateAction> actions;
     for (const auto &[ticket, queued] : this->waiting) {
-        if (queued != sending)
+        if (queued != attempt)
             continue;
         const Ticket cancelled = ticket;
         this->waiting.erase(cancelled);
@@ -129,9 +129,9 @@
     }
     for (const auto &[ticket, running] : this->active) {
         // What is not idempotent runs on: stopped half way it would be neither done nor not run.
-        if (running.sending != sending || !sending->call->idempotent())
+        if (running.attempt != attempt || !attempt->call->idempotent())
             continue;
-        this->end(ticket, CallOutcome::Cancelled);
+        this->endRun(ticket, CallOutcome::Cancelled);
         return;
     }
 }
@@ -145,48 +145,48 @@
     this->announce(next);
 }
 
-void FakeUpstream::begin(Ticket ticket, const std::shared_ptr<Sending> &sending)
+void FakeUpstream::beginRun(Ticket ticket, const std::shared_ptr<UpstreamAttempt> &attempt)
 {
-    Call &call = *sending->call;
+    Call &call = *attempt->call;
     call.runs += 1;
-    this->outcome.ranAfterRefusal += sending->refused ? 1 : 0;
-    this->active[ticket] = Active{sending, this->timeline.now()};
+    this->outcome.ranAfterRefusal += attempt->refused ? 1 : 0;
+    this->active[ticket] = Active{attempt, this->timeline.now()};
     this->outcome.overSlots += this->active.size() > this->slots ? 1 : 0;
 
-    Duration takes = std::chrono::duration_cast<Duration>(call.work * this->slowdown());
-    CallOutcome how = CallOutcome::Succeeded;
+    Duration runTime = std::chrono::duration_cast<Duration>(call.work * this->slowdown());
+    CallOutcome callOutcome = CallOutcome::Succeeded;
     if (this->failsFast) {
-        takes = failingTakes;
-        how = CallOutcome::Failed;
-    } else if (this->active.size() > this->bears) {
-        takes = sheddingTakes;
-        how = CallOutcome::Shed;
+        runTime = failureTime;
+        callOutcome = CallOutcome::Failed;
+    } else if (this->active.size() > this->capacity) {
+        runTime = shedTime;
+        callOutcome = CallOutcome::Shed;
         call.runs -= 1; // The upstream says that it did not run.
     }
     this->outcome.ranTwice += call.runs > 1 && !call.idempotent() ? 1 : 0;
-    const std::uint64_t born = this->generation;
-    this->timeline.after(takes, [this, ticket, how, born] {
-        if (born == this->generation)
-            this->end(ticket, how);
+    const std::uint64_t startGeneration = this->generation;
+    this->timeline.after(runTime, [this, ticket, callOutcome, startGeneration] {
+        if (startGeneration == this->generation)
+            this->endRun(ticket, callOutcome);
     });
 }
 
-void FakeUpstream::end(Ticket ticket, CallOutcome how)
+void FakeUpstream::endRun(Ticket ticket, CallOutcome callOutcome)
 {
     const auto found = this->active.find(ticket);
     if (found == this->active.end())
         return;
     const Active ended = found->second;
     this->active.erase(found);
-    this->countWork(ended);
+    this->recordBusyTime(ended);
     std::vector<GateAction> actions;
-    this->gate.finish(this->timeline.now(), ticket, how, actions);
-    if (how == CallOutcome::Succeeded)
-        this->respond(ended.sending, Reply::Done, Duration::zero());
-    if (how == CallOutcome::Failed)
-        this->respond(ended.sending, Reply::Failed, Duration::zero());
-    if (how == CallOutcome::Shed)
-        this->respond(ended.sending, Reply::NotRun, 50ms);
+    this->gate.finish(this->timeline.now(), ticket, callOutcome, actions);
+    if (callOutcome == CallOutcome::Succeeded)
+        this->respond(ended.attempt, ResponseKind::Done, Duration::zero());
+    if (callOutcome == CallOutcome::Failed)
+        this->respond(ended.attempt, ResponseKind::Failed, Duration::zero());
+    if (callOutcome == CallOutcome::Shed)
+        this->respond(ended.attempt, ResponseKind::NotRun, 50ms);
     this->apply(actions);
 }
 
@@ -196,42 +196,43 @@
         const auto found = this->waiting.find(action.ticket);
         if (found == this->waiting.end())
             continue;
-        const std::shared_ptr<Sending> sending = found->second;
+        const std::shared_ptr<UpstreamAttempt> attempt = found->second;
         this->waiting.erase(found);
         if (action.start)
-            this->begin(action.ticket, sending);
+            this->beginRun(action.ticket, attempt);
         else
-            this->respond(sending, Reply::NotRun, action.retryAfter);
+            this->respond(attempt, ResponseKind::NotRun, action.retryAfter);
     }
-    this->watchDeadline();
+    this->scheduleGateDeadline();
 }
 
-void FakeUpstream::respond(const std::shared_ptr<Sending> &sending, Reply reply, Duration retryAfter)
+void FakeUpstream::respond(const std::shared_ptr<UpstreamAttempt> &attempt, ResponseKind kind,
+                           Duration retryAfter)
 {
-    if (reply == Reply::NotRun) {
-        sending->refused = true;
-        this->outcome.refusedWithoutReturn += retryAfter <= Duration::zero() ? 1 : 0;
+    if (kind == ResponseKind::NotRun) {
+        attempt->refused = true;
+        this->outcome.refusedWithoutRetryAfter += retryAfter <= Duration::zero() ? 1 : 0;
     }
-    Answer answer;
-    answer.reply = reply;
-    answer.retryAfter = retryAfter;
-    answer.freeSlots = this->gate.freeSlots();
-    answer.queued = this->gate.queued();
-    answer.draining = this->condition == UpstreamCondition::Draining;
-    answer.loadTold = true;
-    sending->answer(answer);
+    Response response;
+    response.kind = kind;
+    response.retryAfter = retryAfter;
+    response.freeSlots = this->gate.freeSlots();
+    response.queued = this->gate.queued();
+    response.draining = this->condition == UpstreamCondition::Draining;
+    response.hasReportedLoad = true;
+    attempt->onResponse(response);
 }
 
-void FakeUpstream::watchDeadline()
+void FakeUpstream::scheduleGateDeadline()
 {
     const std::optional<Instant> next = this->gate.nextDeadline();
-    if (!next || (this->watched && *this->watched <= *next))
+    if (!next || (this->scheduledDeadline && *this->scheduledDeadline <= *next))
         return;
-    this->watched = *next;
+    this->scheduledDeadline = *next;
     this->timeline.at(*next, [this, when = *next] {
-        if (this->watched != when)
+        if (this->scheduledDeadline != when)
             return;
-        this->watched.reset();
+        this->scheduledDeadline.reset();
         std::vector<GateAction> actions;
         this->gate.advance(this->timeline.now(), actions);
         this->apply(actions);
@@ -239,19 +240,19 @@
 }
 
 // The process is lost and its connections break, so its callers' nodes know at once.
-void FakeUpstream::breakOff()
+void FakeUpstream::crash()
 {
     const std::map<Ticket, Active> lost = std::exchange(this->active, {});
     this->generation += 1;
     for (const auto &[ticket, running] : lost) {
-        this->countWork(running);
+        this->recordBusyTime(running);
         std::vector<GateAction> actions;
         this->gate.finish(this->timeline.now(), ticket, CallOutcome::Failed, actions);
-        this->respond(running.sending, Reply::Failed, Duration::zero());
+        this->respond(running.attempt, ResponseKind::Failed, Duration::zero());
         for (const GateAction &action : actions) {
-            const std::shared_ptr<Sending> sending = this->waiting.at(action.ticket);
+            const std::shared_ptr<UpstreamAttempt> attempt = this->waiting.at(action.ticket);
             this->waiting.erase(action.ticket);
-            this->respond(sending, Reply::NotRun, 1s);
+            this->respond(attempt, ResponseKind::NotRun, 1s);
             std::vector<GateAction> none;
             this->gate.finish(this->timeline.now(), action.ticket, CallOutcome::Failed, none);
         }
@@ -261,19 +262,20 @@
 // A cold upstream is slower by the factor at first and warms up evenly.
 double FakeUpstream::slowdown() const
 {
-    if (!this->warmingUp)
+    if (!this->warmupFault)
         return this->slowFactor;
-    const Duration from = this->warmingUp->from + absentOnRestart;
-    const double whole = std::chrono::duration<double>(this->warmingUp->until - from).count();
-    const double gone = std::chrono::duration<double>(this->timeline.now() - Instant{} - from).count();
-    return this->warmingUp->factor + (1 - this->warmingUp->factor) * std::clamp(gone / whole, 0.0, 1.0);
+    const Duration from = this->warmupFault->from + restartTime;
+    const double total = std::chrono::duration<double>(this->warmupFault->until - from).count();
+    const double elapsed = std::chrono::duration<double>(this->timeline.now() - Instant{} - from).count();
+    return this->warmupFault->factor
+           + (1 - this->warmupFault->factor) * std::clamp(elapsed / total, 0.0, 1.0);
 }
 
-void FakeUpstream::countWork(const Active &ended)
+void FakeUpstream::recordBusyTime(const Active &ended)
 {
     const double seconds = std::chrono::duration<double>(this->timeline.now() - ended.startedAt).count();
     this->outcome.busySeconds += seconds;
-    if (ended.sending->call->over)
+    if (ended.attempt->call->finished)
         this->outcome.wastedSeconds += seconds;
 }
 
--- a/Utilities/PolicyBench/Fleet.cpp
+++ b/Utilities/PolicyBench/Fleet.cpp
@@ -9,15 +9,15 @@
 
 namespace {
 
-constexpr Duration sameHostWay = 50us;
-constexpr Duration sameZoneWay = 100us;
-constexpr Duration settlingTime = 500ms;
+constexpr Duration sameHostLatency = 50us;
+constexpr Duration sameZoneLatency = 100us;
+constexpr Duration warmupTime = 500ms;
 
 // Run times scatter like this around their mean, with a long tail.
-constexpr double workSigma = 0.6;
+constexpr double runTimeSigma = 0.6;
 
 // A refused or disappointed caller comes back so many times at most.
-constexpr std::uint32_t mostAttempts = 3;
+constexpr std::uint32_t maximumAttempts = 3;
 
 } // namespace
 
@@ -35,7 +35,7 @@
     for (std::uint32_t service = 0; service < this->shape.servers.size(); ++service)
         this->scheduleArrival(service);
     this->timeline.run();
-    this->outcome.neverEnded += this->attempts - this->concluded;
+    this->outcome.unanswered += this->startedAttempts - this->finishedAttempts;
     return this->outcome;
 }
 
@@ -49,7 +49,7 @@
                 const Duration lag = this->timeline.now() == Instant{} ? 0ms : this->scenario.membershipLag;
                 this->timeline.after(lag, [this, service, index, condition] {
                     for (Host &host : this->hosts)
-                        host.node->learn(service, index, condition);
+                        host.node->setCondition(service, index, condition);
                 });
             };
             const auto makeGate = [policy, seed, index] { return policy.makeGate(seed * 1009 + index); };
@@ -66,8 +66,8 @@
                     continue;
                 host.upstream->schedule(fault);
                 if (fault.kind == FaultKind::Drains)
-                    host.upstream->refuseCallsAfter(Instant{} + fault.from + this->scenario.membershipLag
-                                                    + 2 * this->shape.zoneWay);
+                    host.upstream->expectNoCallsAfter(Instant{} + fault.from + this->scenario.membershipLag
+                                                      + 2 * this->shape.crossZoneLatency);
             }
             this->hosts.push_back(std::move(host));
         }
@@ -83,16 +83,17 @@
 void FakeFleet::connect(Host &from, std::size_t to)
 {
     const Host &target = this->hosts[to];
-    UpstreamCandidate facts;
-    facts.id = target.id;
-    facts.sameZone = from.zone == target.zone;
-    facts.sameHost = &from == &target;
-    facts.condition = UpstreamCondition::NotReady;
-    facts.slots = this->shape.slots;
-    Duration way = facts.sameZone ? sameZoneWay : this->shape.zoneWay;
-    if (facts.sameHost)
-        way = sameHostWay;
-    from.node->addCandidate(target.service, facts, FakeNode::Candidate{target.upstream.get(), to, way});
+    UpstreamCandidate candidate;
+    candidate.id = target.id;
+    candidate.sameZone = from.zone == target.zone;
+    candidate.sameHost = &from == &target;
+    candidate.condition = UpstreamCondition::NotReady;
+    candidate.slots = this->shape.slots;
+    Duration latency = candidate.sameZone ? sameZoneLatency : this->shape.crossZoneLatency;
+    if (candidate.sameHost)
+        latency = sameHostLatency;
+    from.node->addCandidate(target.service, candidate,
+                            FakeNode::UpstreamLink{target.upstream.get(), to, latency});
 }
 
 void FakeFleet::scheduleArrival(std::uint32_t service)
@@ -103,7 +104,7 @@
     if (this->timeline.now() + wait > Instant{} + this->scenario.duration)
         return;
     this->timeline.after(wait, [this, service] {
-        this->attempt(this->draw(service));
+        this->startAttempt(this->drawRequest(service));
         this->scheduleArrival(service);
     });
 }
@@ -116,13 +117,13 @@
     const double slots = this->shape.servers[service] * this->shape.slots;
     double load = this->scenario.load;
     const Duration time = this->timeline.now() - Instant{};
-    if (this->scenario.burstEvery > Duration::zero()
-        && time % this->scenario.burstEvery < this->scenario.burstFor)
+    if (this->scenario.burstInterval > Duration::zero()
+        && time % this->scenario.burstInterval < this->scenario.burstDuration)
         load *= this->scenario.burstFactor;
     return load * slots / meanWork;
 }
 
-FakeFleet::Wish FakeFleet::draw(std::uint32_t service)
+FakeFleet::CallerRequest FakeFleet::drawRequest(std::uint32_t service)
 {
     std::uniform_real_distribution<double> uniform(0, 1);
     double pick = uniform(this->arrivals);
@@ -130,103 +131,104 @@
     while (index + 1 < this->scenario.classes.size() && pick >= this->scenario.classes[index].share)
         pick -= this->scenario.classes[index++].share;
     const double mean = std::chrono::duration<double>(this->scenario.classes[index].runTime).count();
-    std::lognormal_distribution<double> work(std::log(mean) - workSigma * workSigma / 2, workSigma);
-    Wish wish;
-    wish.service = service;
-    wish.callClass = static_cast<CallClass>(index);
-    wish.work = std::chrono::duration_cast<Duration>(std::chrono::duration<double>(work(this->arrivals)));
-    wish.number = this->wishes++;
-    wish.counted = this->timeline.now() >= Instant{} + settlingTime;
-    return wish;
+    std::lognormal_distribution<double> work(std::log(mean) - runTimeSigma * runTimeSigma / 2, runTimeSigma);
+    CallerRequest request;
+    request.service = service;
+    request.callClass = static_cast<CallClass>(index);
+    request.work = std::chrono::duration_cast<Duration>(std::chrono::duration<double>(work(this->arrivals)));
+    request.number = this->requestCount++;
+    request.counted = this->timeline.now() >= Instant{} + warmupTime;
+    return request;
 }
 
-void FakeFleet::attempt(Wish wish)
+void FakeFleet::startAttempt(CallerRequest request)
 {
-    this->attempts += 1;
-    wish.attempt += 1;
-    wish.sentAt = this->timeline.now();
-    if (wish.counted && wish.attempt == 1)
-        this->outcome.of(wish.callClass).callers += 1;
-    const Duration patience = this->scenario.classes[static_cast<std::size_t>(wish.callClass)].patience;
+    this->startedAttempts += 1;
+    request.attempt += 1;
+    request.sentAt = this->timeline.now();
+    if (request.counted && request.attempt == 1)
+        this->outcome.of(request.callClass).callers += 1;
+    const Duration callerTimeout =
+        this->scenario.classes[static_cast<std::size_t>(request.callClass)].callerTimeout;
     const auto call = std::make_shared<Call>();
-    call->service = wish.service;
-    call->callClass = wish.callClass;
-    call->work = wish.work;
-    call->deadline = wish.sentAt + patience - this->shape.callerWay;
-    Host &entry = this->hosts[this->entryFor(wish)];
-    call->reply = [this, &entry, wish](const Answer &answer) {
-        this->timeline.after(this->shape.callerWay, [this, &entry, wish, answer] {
+    call->service = request.service;
+    call->callClass = request.callClass;
+    call->work = request.work;
+    call->deadline = request.sentAt + callerTimeout - this->shape.callerLatency;
+    Host &entry = this->hosts[this->entryHostFor(request)];
+    call->onResponse = [this, &entry, request](const Response &response) {
+        this->timeline.after(this->shape.callerLatency, [this, &entry, request, response] {
             if (this->scenario.limitedConnections)
-                entry.connections->giveBack();
-            this->conclude(wish, answer);
+                entry.connections->release();
+            this->finishAttempt(request, response);
         });
     };
-    this->send(entry, wish, call);
+    this->send(entry, request, call);
 }
 
-void FakeFleet::send(Host &entry, const Wish &wish, const std::shared_ptr<Call> &call)
+void FakeFleet::send(Host &entry, const CallerRequest &request, const std::shared_ptr<Call> &call)
 {
-    const auto leave = [this, &entry, call] {
-        this->timeline.after(this->shape.callerWay, [&entry, call] { entry.node->receive(call); });
+    const auto sendToNode = [this, &entry, call] {
+        this->timeline.after(this->shape.callerLatency, [&entry, call] { entry.node->receive(call); });
     };
     if (!this->scenario.limitedConnections)
-        return leave();
+        return sendToNode();
     // A caller that got no connection knows that nothing of its call ran.
-    entry.connections->obtain(call->deadline, leave, [this, wish] {
-        Answer answer;
-        answer.reply = Reply::NotRun;
-        answer.retryAfter = 1ms;
-        this->conclude(wish, answer);
+    entry.connections->acquire(call->deadline, sendToNode, [this, request] {
+        Response response;
+        response.kind = ResponseKind::NotRun;
+        response.retryAfter = 1ms;
+        this->finishAttempt(request, response);
     });
 }
 
-void FakeFleet::conclude(Wish wish, const Answer &answer)
+void FakeFleet::finishAttempt(CallerRequest request, const Response &response)
 {
-    this->concluded += 1;
-    if (wish.counted)
-        this->count(wish, answer, this->timeline.now() - wish.sentAt);
-    if (answer.reply == Reply::Done || wish.attempt >= mostAttempts)
+    this->finishedAttempts += 1;
+    if (request.counted)
+        this->count(request, response, this->timeline.now() - request.sentAt);
+    if (response.kind == ResponseKind::Done || request.attempt >= maximumAttempts)
         return;
-    if (answer.reply == Reply::NotRun) {
-        this->timeline.after(answer.retryAfter, [this, wish] { this->attempt(wish); });
+    if (response.kind == ResponseKind::NotRun) {
+        this->timeline.after(response.retryAfter, [this, request] { this->startAttempt(request); });
         return;
     }
     // Whether it ran is not known: only what may run twice is asked for again, and at once.
-    if (wish.callClass != CallClass::NonIdempotent)
-        this->attempt(wish);
+    if (request.callClass != CallClass::NonIdempotent)
+        this->startAttempt(request);
 }
 
-void FakeFleet::count(const Wish &wish, const Answer &answer, Duration took)
+void FakeFleet::count(const CallerRequest &request, const Response &response, Duration took)
 {
-    ClassOutcome &counted = this->outcome.of(wish.callClass);
-    counted.served += answer.reply == Reply::Done ? 1 : 0;
-    if (wish.attempt > 1)
+    ClassOutcome &counted = this->outcome.of(request.callClass);
+    counted.served += response.kind == ResponseKind::Done ? 1 : 0;
+    if (request.attempt > 1)
         return;
-    switch (answer.reply) {
-    case Reply::Done:
+    switch (response.kind) {
+    case ResponseKind::Done:
         counted.inTime += 1;
-        counted.answered.push_back(took);
+        counted.servedLatencies.push_back(took);
         return;
-    case Reply::NotRun:
+    case ResponseKind::NotRun:
         counted.refused += 1;
-        counted.refusals.push_back(took);
+        counted.refusalLatencies.push_back(took);
         return;
-    case Reply::Failed:
+    case ResponseKind::Failed:
         counted.failed += 1;
         return;
-    case Reply::Unknown:
-        counted.gaveUp += 1;
+    case ResponseKind::Unknown:
+        counted.timedOut += 1;
         return;
     }
 }
 
 // A returning caller may reach another node than before.
-std::size_t FakeFleet::entryFor(const Wish &wish) const
+std::size_t FakeFleet::entryHostFor(const CallerRequest &request) const
 {
-    const std::uint64_t mixed = (wish.number * 3 + wish.attempt) * 0x9E3779B97F4A7C15ULL;
+    const std::uint64_t mixed = (request.number * 3 + request.attempt) * 0x9E3779B97F4A7C15ULL;
     const std::size_t count = this->hosts.size();
     std::size_t index = (mixed >> 32U) % count;
-    while (this->scenario.oneEntryZone && this->hosts[index].zone != 0)
+    while (this->scenario.singleEntryZone && this->hosts[index].zone != 0)
         index = (index + 1) % count;
     return index;
 }
--- a/Utilities/PolicyBench/Fleet.h
+++ b/Utilities/PolicyBench/Fleet.h
@@ -39,7 +39,7 @@
     };
 
     // What a caller wants; it may attempt it more than once.
-    struct Wish
+    struct CallerRequest
     {
         std::uint32_t service;
         CallClass callClass;
@@ -54,12 +54,12 @@
     void connect(Host &from, std::size_t to);
     void scheduleArrival(std::uint32_t service);
     double arrivalsPerSecond(std::uint32_t service) const;
-    Wish draw(std::uint32_t service);
-    void attempt(Wish wish);
-    void send(Host &entry, const Wish &wish, const std::shared_ptr<Call> &call);
-    void conclude(Wish wish, const Answer &answer);
-    void count(const Wish &wish, const Answer &answer, Duration took);
-    std::size_t entryFor(const Wish &wish) const;
+    CallerRequest drawRequest(std::uint32_t service);
+    void startAttempt(CallerRequest request);
+    void send(Host &entry, const CallerRequest &request, const std::shared_ptr<Call> &call);
+    void finishAttempt(CallerRequest request, const Response &response);
+    void count(const CallerRequest &request, const Response &response, Duration took);
+    std::size_t entryHostFor(const CallerRequest &request) const;
 
     FleetShape shape;
     Scenario scenario;
@@ -67,9 +67,9 @@
     Outcome outcome;
     std::mt19937_64 arrivals; // Independent of the policy, so that all policies meet the same callers.
     std::vector<Host> hosts;
-    std::uint64_t wishes = 0;
-    std::uint64_t concluded = 0;
-    std::uint64_t attempts = 0;
+    std::uint64_t requestCount = 0;
+    std::uint64_t finishedAttempts = 0;
+    std::uint64_t startedAttempts = 0;
 };
 
 } // namespace Sagecrank
--- a/Utilities/PolicyBench/Outcome.cpp
+++ b/Utilities/PolicyBench/Outcome.cpp
@@ -12,9 +12,11 @@
     this->served += other.served;
     this->refused += other.refused;
     this->failed += other.failed;
-    this->gaveUp += other.gaveUp;
-    this->answered.insert(this->answered.end(), other.answered.begin(), other.answered.end());
-    this->refusals.insert(this->refusals.end(), other.refusals.begin(), other.refusals.end());
+    this->timedOut += other.timedOut;
+    this->servedLatencies.insert(this->servedLatencies.end(), other.servedLatencies.begin(),
+                                 other.servedLatencies.end());
+    this->refusalLatencies.insert(this->refusalLatencies.end(), other.refusalLatencies.begin(),
+                                  other.refusalLatencies.end());
 }
 
 double ClassOutcome::share(std::uint64_t part) const
@@ -31,16 +33,16 @@
     this->ranAfterRefusal += other.ranAfterRefusal;
     this->ranTwice += other.ranTwice;
     this->overSlots += other.overSlots;
-    this->neverEnded += other.neverEnded;
-    this->cutByDrain += other.cutByDrain;
-    this->lateToDraining += other.lateToDraining;
-    this->refusedWithoutReturn += other.refusedWithoutReturn;
+    this->unanswered += other.unanswered;
+    this->interruptedByDrain += other.interruptedByDrain;
+    this->sentToDraining += other.sentToDraining;
+    this->refusedWithoutRetryAfter += other.refusedWithoutRetryAfter;
 }
 
-std::uint64_t Outcome::breaches() const
+std::uint64_t Outcome::violations() const
 {
-    return this->ranAfterRefusal + this->ranTwice + this->overSlots + this->neverEnded + this->cutByDrain
-           + this->lateToDraining + this->refusedWithoutReturn;
+    return this->ranAfterRefusal + this->ranTwice + this->overSlots + this->unanswered
+           + this->interruptedByDrain + this->sentToDraining + this->refusedWithoutRetryAfter;
 }
 
 Duration quantile(std::vector<Duration> values, double share)
--- a/Utilities/PolicyBench/Policy.cpp
+++ b/Utilities/PolicyBench/Policy.cpp
@@ -17,7 +17,7 @@
 using namespace std::chrono_literals;
 
 // Starts what fits into the slots and queues the rest for ever, in order of arrival.
-class PlainGate
+class FifoGate
 {
 public:
     GateDecision offer(Instant, const CallAttributes &, std::vector<GateAction> &)
@@ -71,12 +71,12 @@
     std::deque<Ticket> queue;
 };
 
-GateHooks plainGate(std::uint64_t)
+GateHooks fifoGate(std::uint64_t)
 {
-    const auto gate = std::make_shared<PlainGate>();
+    const auto gate = std::make_shared<FifoGate>();
     GateHooks hooks;
-    hooks.offer = [gate](Instant now, const CallAttributes &facts, std::vector<GateAction> &actions) {
-        return gate->offer(now, facts, actions);
+    hooks.offer = [gate](Instant now, const CallAttributes &attributes, std::vector<GateAction> &actions) {
+        return gate->offer(now, attributes, actions);
     };
     hooks.finish = [gate](Instant, Ticket ticket, CallOutcome, std::vector<GateAction> &actions) {
         gate->finish(ticket, actions);
@@ -91,59 +91,63 @@
     return hooks;
 }
 
-GateHooks ourGateWith(std::uint64_t seed, std::uint32_t maximumQueue)
+GateHooks sagecrankGateWithQueue(std::uint64_t seed, std::uint32_t maximumQueue)
 {
     return makeAdmissionHooks(std::make_shared<Gate>(GateSettings{0, maximumQueue, seed}));
 }
 
-GateHooks ourGate(std::uint64_t seed)
+GateHooks sagecrankGate(std::uint64_t seed)
 {
-    return ourGateWith(seed, GateSettings{}.maximumQueue);
+    return sagecrankGateWithQueue(seed, GateSettings{}.maximumQueue);
 }
 
-PlacerHooks ourPlacer(std::uint64_t seed, LoadBalancerSettings settings)
+LoadBalancerHooks sagecrankLoadBalancer(std::uint64_t seed, LoadBalancerSettings settings)
 {
-    const auto numbers = std::make_shared<std::mt19937_64>(seed);
-    const auto placer = std::make_shared<LoadBalancer>(settings, [numbers] { return (*numbers)(); });
-    PlacerHooks hooks;
-    hooks.place = [placer](Instant now, std::span<const UpstreamCandidate> candidates, CallClass callClass,
-                           std::span<const std::size_t> tried) {
-        return placer->pick(now, candidates, callClass, tried);
+    const auto random = std::make_shared<std::mt19937_64>(seed);
+    const auto loadBalancer = std::make_shared<LoadBalancer>(settings, [random] { return (*random)(); });
+    LoadBalancerHooks hooks;
+    hooks.pick = [loadBalancer](Instant now, std::span<const UpstreamCandidate> candidates,
+                                CallClass callClass, std::span<const std::size_t> tried) {
+        return loadBalancer->pick(now, candidates, callClass, tried);
     };
-    hooks.started = [placer](std::string_view id, Instant now) { placer->recordStart(id, now); };
-    hooks.ended = [placer](std::string_view id, Instant now, CallClass callClass, Duration took,
-                           AttemptOutcome end) { placer->recordEnd(id, now, callClass, took, end); };
-    hooks.told = [placer](std::string_view id, Instant now, std::uint32_t freeSlots, std::uint32_t queued,
-                          bool draining) {
-        placer->recordReportedLoad(id, now, {freeSlots, queued, draining});
+    hooks.recordStart = [loadBalancer](std::string_view id, Instant now) {
+        loadBalancer->recordStart(id, now);
+    };
+    hooks.recordEnd = [loadBalancer](std::string_view id, Instant now, CallClass callClass, Duration took,
+                                     AttemptOutcome end) {
+        loadBalancer->recordEnd(id, now, callClass, took, end);
+    };
+    hooks.recordReportedLoad = [loadBalancer](std::string_view id, Instant now, std::uint32_t freeSlots,
+                                              std::uint32_t queued, bool draining) {
+        loadBalancer->recordReportedLoad(id, now, {freeSlots, queued, draining});
     };
     return hooks;
 }
 
-bool eligible(const UpstreamCandidate &facts, std::span<const std::size_t> tried, std::size_t index)
+bool eligible(const UpstreamCandidate &candidate, std::span<const std::size_t> tried, std::size_t index)
 {
-    const bool takes =
-        facts.condition == UpstreamCondition::Ready || facts.condition == UpstreamCondition::Warming;
-    return takes && std::find(tried.begin(), tried.end(), index) == tried.end();
+    const bool acceptsCalls =
+        candidate.condition == UpstreamCondition::Ready || candidate.condition == UpstreamCondition::Warming;
+    return acceptsCalls && std::find(tried.begin(), tried.end(), index) == tried.end();
 }
 
-PlacerHooks quietHooks()
+LoadBalancerHooks statelessHooks()
 {
-    PlacerHooks hooks;
-    hooks.started = [](std::string_view, Instant) {};
-    hooks.ended = [](std::string_view, Instant, CallClass, Duration, AttemptOutcome) {};
-    hooks.told = [](std::string_view, Instant, std::uint32_t, std::uint32_t, bool) {};
+    LoadBalancerHooks hooks;
+    hooks.recordStart = [](std::string_view, Instant) {};
+    hooks.recordEnd = [](std::string_view, Instant, CallClass, Duration, AttemptOutcome) {};
+    hooks.recordReportedLoad = [](std::string_view, Instant, std::uint32_t, std::uint32_t, bool) {};
     return hooks;
 }
 
-PlacerHooks roundRobinPlacer(std::uint64_t seed)
+LoadBalancerHooks roundRobinLoadBalancer(std::uint64_t seed)
 {
-    PlacerHooks hooks = quietHooks();
-    const auto turn = std::make_shared<std::size_t>(seed % 97);
-    hooks.place = [turn](Instant, std::span<const UpstreamCandidate> candidates, CallClass,
-                         std::span<const std::size_t> tried) -> std::optional<std::size_t> {
+    LoadBalancerHooks hooks = statelessHooks();
+    const auto next = std::make_shared<std::size_t>(seed % 97);
+    hooks.pick = [next](Instant, std::span<const UpstreamCandidate> candidates, CallClass,
+                        std::span<const std::size_t> tried) -> std::optional<std::size_t> {
         for (std::size_t step = 0; step < candidates.size(); ++step) {
-            const std::size_t index = (*turn)++ % candidates.size();
+            const std::size_t index = (*next)++ % candidates.size();
             if (eligible(candidates[index], tried, index))
                 return index;
         }
@@ -152,20 +156,20 @@
     return hooks;
 }
 
-PlacerHooks leastOutstandingPlacer(std::uint64_t seed)
+LoadBalancerHooks leastOutstandingLoadBalancer(std::uint64_t seed)
 {
-    PlacerHooks hooks = quietHooks();
+    LoadBalancerHooks hooks = statelessHooks();
     const auto counts = std::make_shared<std::map<std::string, int, std::less<>>>();
-    const auto numbers = std::make_shared<std::mt19937_64>(seed);
-    hooks.started = [counts](std::string_view id, Instant) { (*counts)[std::string(id)] += 1; };
-    hooks.ended = [counts](std::string_view id, Instant, CallClass, Duration, AttemptOutcome) {
+    const auto random = std::make_shared<std::mt19937_64>(seed);
+    hooks.recordStart = [counts](std::string_view id, Instant) { (*counts)[std::string(id)] += 1; };
+    hooks.recordEnd = [counts](std::string_view id, Instant, CallClass, Duration, AttemptOutcome) {
         (*counts)[std::string(id)] -= 1;
     };
-    hooks.place = [counts, numbers](Instant, std::span<const UpstreamCandidate> candidates, CallClass,
-                                    std::span<const std::size_t> tried) -> std::optional<std::size_t> {
+    hooks.pick = [counts, random](Instant, std::span<const UpstreamCandidate> candidates, CallClass,
+                                  std::span<const std::size_t> tried) -> std::optional<std::size_t> {
         std::optional<std::size_t> best;
         int fewest = std::numeric_limits<int>::max();
-        const std::size_t start = (*numbers)() % candidates.size(); // Ties go to a random one.
+        const std::size_t start = (*random)() % candidates.size(); // Ties go to a random one.
         for (std::size_t step = 0; step < candidates.size(); ++step) {
             const std::size_t index = (start + step) % candidates.size();
             const int count = (*counts)[std::string(candidates[index].id)];
@@ -179,21 +183,23 @@
     return hooks;
 }
 
-Policy oursWith(std::string name, LoadBalancerSettings settings)
+Policy ablation(std::string name, LoadBalancerSettings settings)
 {
-    Policy policy = ours();
+    Policy policy = sagecrankPolicy();
     policy.name = std::move(name);
-    policy.makePlacer = [settings](std::uint64_t seed) { return ourPlacer(seed, settings); };
+    policy.makeLoadBalancer = [settings](std::uint64_t seed) {
+        return sagecrankLoadBalancer(seed, settings);
+    };
     return policy;
 }
 
 // The gate is told that every call may take as long as it likes.
 GateHooks withoutDeadlines(std::uint64_t seed)
 {
-    GateHooks hooks = ourGate(seed);
+    GateHooks hooks = sagecrankGate(seed);
     const auto offer = hooks.offer;
-    hooks.offer = [offer](Instant now, const CallAttributes &facts, std::vector<GateAction> &actions) {
-        return offer(now, CallAttributes{facts.callClass, now + 1h}, actions);
+    hooks.offer = [offer](Instant now, const CallAttributes &attributes, std::vector<GateAction> &actions) {
+        return offer(now, CallAttributes{attributes.callClass, now + 1h}, actions);
     };
     return hooks;
 }
@@ -201,10 +207,10 @@
 // The gate is told that every call is interactive.
 GateHooks withoutClasses(std::uint64_t seed)
 {
-    GateHooks hooks = ourGate(seed);
+    GateHooks hooks = sagecrankGate(seed);
     const auto offer = hooks.offer;
-    hooks.offer = [offer](Instant now, const CallAttributes &facts, std::vector<GateAction> &actions) {
-        return offer(now, CallAttributes{CallClass::Interactive, facts.deadline}, actions);
+    hooks.offer = [offer](Instant now, const CallAttributes &attributes, std::vector<GateAction> &actions) {
+        return offer(now, CallAttributes{CallClass::Interactive, attributes.deadline}, actions);
     };
     return hooks;
 }
@@ -212,7 +218,7 @@
 // The gate does not learn that the upstream sheds.
 GateHooks withoutAdaptiveLimit(std::uint64_t seed)
 {
-    GateHooks hooks = ourGate(seed);
+    GateHooks hooks = sagecrankGate(seed);
     const auto finish = hooks.finish;
     hooks.finish = [finish](Instant now, Ticket ticket, CallOutcome end, std::vector<GateAction> &actions) {
         finish(now, ticket, end == CallOutcome::Shed ? CallOutcome::Failed : end, actions);
@@ -221,95 +227,96 @@
 }
 
 // Every refused caller is told the same time to come back.
-GateHooks withFixedReturn(std::uint64_t seed)
+GateHooks withFixedRetryDelay(std::uint64_t seed)
 {
-    static constexpr Duration fixedReturn = 100ms;
-    GateHooks hooks = ourGate(seed);
+    static constexpr Duration fixedRetryDelay = 100ms;
+    GateHooks hooks = sagecrankGate(seed);
     const auto offer = hooks.offer;
-    hooks.offer = [offer](Instant now, const CallAttributes &facts, std::vector<GateAction> &actions) {
-        GateDecision decision = offer(now, facts, actions);
+    hooks.offer = [offer](Instant now, const CallAttributes &attributes, std::vector<GateAction> &actions) {
+        GateDecision decision = offer(now, attributes, actions);
         if (decision.verdict == GateVerdict::Refuse)
-            decision.retryAfter = fixedReturn;
+            decision.retryAfter = fixedRetryDelay;
         return decision;
     };
     return hooks;
 }
 
-Policy oursWith(std::string name, std::function<GateHooks(std::uint64_t)> makeGate)
+Policy ablation(std::string name, std::function<GateHooks(std::uint64_t)> makeGate)
 {
-    Policy policy = ours();
+    Policy policy = sagecrankPolicy();
     policy.name = std::move(name);
     policy.makeGate = std::move(makeGate);
     return policy;
 }
 
 // Ours with another length of queue.
-Policy oursWithQueue(std::uint32_t length)
+Policy ablationWithQueue(std::uint32_t length)
 {
-    return oursWith("queue-" + std::to_string(length),
-                    [length](std::uint64_t seed) { return ourGateWith(seed, length); });
+    return ablation("queue-" + std::to_string(length),
+                    [length](std::uint64_t seed) { return sagecrankGateWithQueue(seed, length); });
 }
 
 } // namespace
 
-Policy roundRobin()
+Policy roundRobinPolicy()
 {
-    return Policy{"round-robin", plainGate, roundRobinPlacer, false, false};
+    return Policy{"round-robin", fifoGate, roundRobinLoadBalancer, false, false};
 }
 
-Policy leastOutstanding()
+Policy leastOutstandingPolicy()
 {
-    return Policy{"least-outstanding", plainGate, leastOutstandingPlacer, false, false};
+    return Policy{"least-outstanding", fifoGate, leastOutstandingLoadBalancer, false, false};
 }
 
-Policy ours()
+Policy sagecrankPolicy()
 {
-    return Policy{"sagecrank", ourGate,
-                  [](std::uint64_t seed) { return ourPlacer(seed, LoadBalancerSettings{}); }, true};
+    return Policy{"sagecrank", sagecrankGate,
+                  [](std::uint64_t seed) { return sagecrankLoadBalancer(seed, LoadBalancerSettings{}); },
+                  true};
 }
 
-std::vector<Policy> ablations()
+std::vector<Policy> ablationPolicies()
 {
     std::vector<Policy> policies;
     LoadBalancerSettings settings;
     settings.maximumEjectedShare = 0;
-    policies.push_back(oursWith("no-ejection", settings));
+    policies.push_back(ablation("no-ejection", settings));
 
     for (const std::size_t choices : {1, 4, 16}) {
         settings = LoadBalancerSettings{};
         settings.choices = choices;
-        policies.push_back(oursWith("choices-" + std::to_string(choices), settings));
+        policies.push_back(ablation("choices-" + std::to_string(choices), settings));
     }
 
     settings = LoadBalancerSettings{};
     settings.reportedLoadDecay = 1ns;
-    policies.push_back(oursWith("no-told-load", settings));
+    policies.push_back(ablation("no-told-load", settings));
 
     settings = LoadBalancerSettings{};
     settings.crossZoneCost = Duration::zero();
-    policies.push_back(oursWith("no-zone-cost", settings));
+    policies.push_back(ablation("no-zone-cost", settings));
 
-    Policy plainPlacing = ours();
-    plainPlacing.name = "no-placer";
-    plainPlacing.makePlacer = roundRobinPlacer;
-    policies.push_back(plainPlacing);
+    Policy noLoadBalancer = sagecrankPolicy();
+    noLoadBalancer.name = "no-placer";
+    noLoadBalancer.makeLoadBalancer = roundRobinLoadBalancer;
+    policies.push_back(noLoadBalancer);
 
-    policies.push_back(oursWith("no-deadlines", withoutDeadlines));
-    policies.push_back(oursWith("no-classes", withoutClasses));
-    policies.push_back(oursWith("no-adaptive-limit", withoutAdaptiveLimit));
-    policies.push_back(oursWith("fixed-return", withFixedReturn));
+    policies.push_back(ablation("no-deadlines", withoutDeadlines));
+    policies.push_back(ablation("no-classes", withoutClasses));
+    policies.push_back(ablation("no-adaptive-limit", withoutAdaptiveLimit));
+    policies.push_back(ablation("fixed-return", withFixedRetryDelay));
     for (const std::uint32_t length : {64U, 96U, 128U})
-        policies.push_back(oursWithQueue(length));
+        policies.push_back(ablationWithQueue(length));
 
-    Policy hedged = ours();
+    Policy hedged = sagecrankPolicy();
     hedged.name = "hedges";
-    hedged.hedges = true;
+    hedged.hedgesCalls = true;
     policies.push_back(hedged);
 
-    Policy freeRetries = ours();
-    freeRetries.name = "no-retry-budget";
-    freeRetries.budgetsRetries = false;
-    policies.push_back(freeRetries);
+    Policy noRetryBudget = sagecrankPolicy();
+    noRetryBudget.name = "no-retry-budget";
+    noRetryBudget.limitsRetries = false;
+    policies.push_back(noRetryBudget);
     return policies;
 }
 
--- a/Utilities/PolicyBench/Policy.h
+++ b/Utilities/PolicyBench/Policy.h
@@ -16,31 +16,31 @@
 
 using GateHooks = AdmissionHooks;
 
-struct PlacerHooks
+struct LoadBalancerHooks
 {
     std::function<std::optional<std::size_t>(Instant, std::span<const UpstreamCandidate>, CallClass,
                                              std::span<const std::size_t>)>
-        place;
-    std::function<void(std::string_view, Instant)> started;
-    std::function<void(std::string_view, Instant, CallClass, Duration, AttemptOutcome)> ended;
-    std::function<void(std::string_view, Instant, std::uint32_t, std::uint32_t, bool)> told;
+        pick;
+    std::function<void(std::string_view, Instant)> recordStart;
+    std::function<void(std::string_view, Instant, CallClass, Duration, AttemptOutcome)> recordEnd;
+    std::function<void(std::string_view, Instant, std::uint32_t, std::uint32_t, bool)> recordReportedLoad;
 };
 
 struct Policy
 {
     std::string name;
     std::function<GateHooks(std::uint64_t seed)> makeGate;
-    std::function<PlacerHooks(std::uint64_t seed)> makePlacer;
-    bool budgetsRetries = true;
-    bool hedges = false; // Sends a second copy of an interactive call that is late.
+    std::function<LoadBalancerHooks(std::uint64_t seed)> makeLoadBalancer;
+    bool limitsRetries = true;
+    bool hedgesCalls = false; // Sends a second copy of an interactive call that is late.
 };
 
 // Round robin over all upstreams and no admission: an endless queue in order of arrival.
-Policy roundRobin();
+Policy roundRobinPolicy();
 // The fewest own outstanding calls, and no admission.
-Policy leastOutstanding();
-Policy ours();
+Policy leastOutstandingPolicy();
+Policy sagecrankPolicy();
 // Ours with one mechanism taken out; named "no-...".
-std::vector<Policy> ablations();
+std::vector<Policy> ablationPolicies();
 
 } // namespace Sagecrank
--- a/Utilities/PolicyBench/Report.cpp
+++ b/Utilities/PolicyBench/Report.cpp
@@ -47,11 +47,11 @@
         const ClassOutcome &row = outcome.of(callClass);
         out << "| " << scenario << " | " << policy << " | " << callClassNames.name(callClass) << " | "
             << row.callers << " | " << percent(row.share(row.inTime)) << " | "
-            << percent(row.share(row.served)) << " | " << milliseconds(quantile(row.answered, 0.5)) << " | "
-            << milliseconds(quantile(row.answered, 0.99)) << " | " << percent(row.share(row.refused)) << " | "
-            << milliseconds(quantile(row.refusals, 0.99)) << " | " << percent(row.share(row.failed)) << " | "
-            << percent(row.share(row.gaveUp)) << " | " << wasted(outcome) << " | " << outcome.breaches()
-            << " |\n";
+            << percent(row.share(row.served)) << " | " << milliseconds(quantile(row.servedLatencies, 0.5))
+            << " | " << milliseconds(quantile(row.servedLatencies, 0.99)) << " | "
+            << percent(row.share(row.refused)) << " | " << milliseconds(quantile(row.refusalLatencies, 0.99))
+            << " | " << percent(row.share(row.failed)) << " | " << percent(row.share(row.timedOut)) << " | "
+            << wasted(outcome) << " | " << outcome.violations() << " |\n";
     }
 }
 
@@ -72,11 +72,11 @@
     out << "| " << scenario << " | " << policy;
     cell([](const ClassOutcome &row) { return percent(row.share(row.inTime)); });
     cell([](const ClassOutcome &row) { return percent(row.share(row.served)); });
-    cell([](const ClassOutcome &row) { return milliseconds(quantile(row.answered, 0.5)); });
-    cell([](const ClassOutcome &row) { return milliseconds(quantile(row.answered, 0.99)); });
+    cell([](const ClassOutcome &row) { return milliseconds(quantile(row.servedLatencies, 0.5)); });
+    cell([](const ClassOutcome &row) { return milliseconds(quantile(row.servedLatencies, 0.99)); });
     cell([](const ClassOutcome &row) { return percent(row.share(row.refused)); });
-    cell([](const ClassOutcome &row) { return milliseconds(quantile(row.refusals, 0.99)); });
-    out << " | " << wasted(outcome) << " | " << outcome.breaches() << " |\n";
+    cell([](const ClassOutcome &row) { return milliseconds(quantile(row.refusalLatencies, 0.99)); });
+    out << " | " << wasted(outcome) << " | " << outcome.violations() << " |\n";
 }
 
 } // namespace Sagecrank
--- a/Utilities/PolicyBench/Scenario.cpp
+++ b/Utilities/PolicyBench/Scenario.cpp
@@ -17,13 +17,13 @@
 };
 
 // The same, but a batch call runs a hundred times as long as an interactive one.
-constexpr std::array<ClassLoad, 3> longAndShort{
+constexpr std::array<ClassLoad, 3> longBatchMix{
     ClassLoad{0.78, 4ms, 100ms},
     ClassLoad{0.20, 10ms, 400ms},
     ClassLoad{0.02, 400ms, 10s},
 };
 
-Scenario plain(std::string name, double load)
+Scenario makeScenario(std::string name, double load)
 {
     Scenario scenario;
     scenario.name = std::move(name);
@@ -33,18 +33,19 @@
 }
 
 // One server of each service has the fault, for most of the run.
-Scenario faulty(std::string name, double load, FaultKind kind, double factor, const FleetShape &fleet)
+Scenario makeFaultScenario(std::string name, double load, FaultKind kind, double factor,
+                           const FleetShape &fleet)
 {
-    Scenario scenario = plain(std::move(name), load);
+    Scenario scenario = makeScenario(std::move(name), load);
     for (std::uint32_t service = 0; service < fleet.servers.size(); ++service)
         scenario.faults.push_back(Fault{kind, service, 0, 1500ms, 4500ms, factor});
     return scenario;
 }
 
 // Half of the servers of each service return at once, as after a lost rack.
-Scenario coldHerd(const FleetShape &fleet)
+Scenario makeColdStart(const FleetShape &fleet)
 {
-    Scenario scenario = plain("cold-start", 0.5);
+    Scenario scenario = makeScenario("cold-start", 0.5);
     for (std::uint32_t service = 0; service < fleet.servers.size(); ++service) {
         for (std::uint32_t server = 0; server < fleet.servers[service] / 2; ++server)
             scenario.faults.push_back(Fault{FaultKind::Restarts, service, server, 1500ms, 4s, 6});
@@ -52,8 +53,8 @@
     return scenario;
 }
 
-void disturbEveryServer(Scenario &scenario, const FleetShape &fleet, FaultKind kind, Duration from,
-                        Duration until, double factor)
+void addFaultToAllServers(Scenario &scenario, const FleetShape &fleet, FaultKind kind, Duration from,
+                          Duration until, double factor)
 {
     for (std::uint32_t service = 0; service < fleet.servers.size(); ++service) {
         for (std::uint32_t server = 0; server < fleet.servers[service]; ++server)
@@ -62,24 +63,24 @@
 }
 
 // Every server bears half of what it announces.
-Scenario allShed(const FleetShape &fleet)
+Scenario makeAllShed(const FleetShape &fleet)
 {
-    Scenario scenario = plain("all-shed", 0.45);
-    disturbEveryServer(scenario, fleet, FaultKind::Sheds, 1500ms, 4500ms, 0.5);
+    Scenario scenario = makeScenario("all-shed", 0.45);
+    addFaultToAllServers(scenario, fleet, FaultKind::Sheds, 1500ms, 4500ms, 0.5);
     return scenario;
 }
 
 // What all servers depend on is slow for two seconds: everything runs thirty times longer.
-Scenario allSlow(const FleetShape &fleet)
+Scenario makeAllSlow(const FleetShape &fleet)
 {
-    Scenario scenario = plain("all-slow", 0.6);
-    disturbEveryServer(scenario, fleet, FaultKind::Slow, 1500ms, 3500ms, 30);
+    Scenario scenario = makeScenario("all-slow", 0.6);
+    addFaultToAllServers(scenario, fleet, FaultKind::Slow, 1500ms, 3500ms, 30);
     return scenario;
 }
 
 } // namespace
 
-std::vector<FleetShape> todaysFleets()
+std::vector<FleetShape> currentFleets()
 {
     return {
         FleetShape{"borgbillet", {5, 3}, 6, 3, 500us, 1ms, 100},
@@ -95,36 +96,36 @@
 std::vector<Scenario> scenariosFor(const FleetShape &fleet)
 {
     std::vector<Scenario> scenarios;
-    scenarios.push_back(plain("steady", 0.6));
+    scenarios.push_back(makeScenario("steady", 0.6));
 
-    Scenario burst = plain("burst", 0.4);
+    Scenario burst = makeScenario("burst", 0.4);
     burst.burstFactor = 6;
-    burst.burstEvery = 1s;
-    burst.burstFor = 150ms;
+    burst.burstInterval = 1s;
+    burst.burstDuration = 150ms;
     scenarios.push_back(burst);
 
-    scenarios.push_back(plain("saturation", 1.6));
+    scenarios.push_back(makeScenario("saturation", 1.6));
 
-    Scenario mixed = plain("long-and-short", 0.85);
-    mixed.classes = longAndShort;
+    Scenario mixed = makeScenario("long-and-short", 0.85);
+    mixed.classes = longBatchMix;
     scenarios.push_back(mixed);
 
-    Scenario skew = plain("skew", 0.75);
-    skew.oneEntryZone = true;
+    Scenario skew = makeScenario("skew", 0.75);
+    skew.singleEntryZone = true;
     scenarios.push_back(skew);
 
-    scenarios.push_back(faulty("slow", 0.6, FaultKind::Slow, 8, fleet));
-    scenarios.push_back(faulty("fails-fast", 0.6, FaultKind::FailsFast, 1, fleet));
-    scenarios.push_back(faulty("sheds", 0.6, FaultKind::Sheds, 0.34, fleet));
-    scenarios.push_back(allShed(fleet));
-    scenarios.push_back(allSlow(fleet));
-    scenarios.push_back(coldHerd(fleet));
-    scenarios.push_back(faulty("drain", 0.6, FaultKind::Drains, 1, fleet));
-    scenarios.push_back(faulty("silent", 0.5, FaultKind::Silent, 1, fleet));
+    scenarios.push_back(makeFaultScenario("slow", 0.6, FaultKind::Slow, 8, fleet));
+    scenarios.push_back(makeFaultScenario("fails-fast", 0.6, FaultKind::FailsFast, 1, fleet));
+    scenarios.push_back(makeFaultScenario("sheds", 0.6, FaultKind::Sheds, 0.34, fleet));
+    scenarios.push_back(makeAllShed(fleet));
+    scenarios.push_back(makeAllSlow(fleet));
+    scenarios.push_back(makeColdStart(fleet));
+    scenarios.push_back(makeFaultScenario("drain", 0.6, FaultKind::Drains, 1, fleet));
+    scenarios.push_back(makeFaultScenario("silent", 0.5, FaultKind::Silent, 1, fleet));
     return scenarios;
 }
 
-Scenario scenarioNamed(const FleetShape &fleet, const std::string &name)
+Scenario findScenario(const FleetShape &fleet, const std::string &name)
 {
     const std::vector<Scenario> all = scenariosFor(fleet);
     const auto found =
--- a/Utilities/PolicyBench/Scenario.h
+++ b/Utilities/PolicyBench/Scenario.h
@@ -18,16 +18,16 @@
     std::vector<std::uint32_t> servers; // For each service.
     std::uint32_t slots;
     std::uint32_t zones;
-    Duration zoneWay;          // One way between two zones.
-    Duration callerWay;        // One way between a caller and any node.
+    Duration crossZoneLatency; // One way between two zones.
+    Duration callerLatency;    // One way between a caller and any node.
     std::uint32_t connections; // That a host takes from callers.
 };
 
 struct ClassLoad
 {
-    double share;      // Of all calls.
-    Duration runTime;  // Mean on a healthy upstream.
-    Duration patience; // The caller gives up after this.
+    double share;           // Of all calls.
+    Duration runTime;       // Mean on a healthy upstream.
+    Duration callerTimeout; // The caller gives up after this.
 };
 
 enum class FaultKind : std::uint8_t {
@@ -55,20 +55,20 @@
     double load; // Demand as a share of what all slots bear.
     std::array<ClassLoad, 3> classes;
     double burstFactor = 1; // Demand during a burst, as a multiple.
-    Duration burstEvery{};
-    Duration burstFor{};
+    Duration burstInterval{};
+    Duration burstDuration{};
     bool limitedConnections = false; // Callers need one of the host's connections for each call.
-    bool oneEntryZone = false;       // All callers come in through the nodes of one zone.
+    bool singleEntryZone = false;    // All callers come in through the nodes of one zone.
     std::vector<Fault> faults;
     Duration duration = std::chrono::seconds(6);
     Duration membershipLag =
         std::chrono::milliseconds(800); // From a change of condition to all nodes' knowing.
 };
 
-std::vector<FleetShape> todaysFleets();
+std::vector<FleetShape> currentFleets();
 // One service of a size that the users expect in two years; not run by default.
 FleetShape largeService();
 std::vector<Scenario> scenariosFor(const FleetShape &fleet);
-Scenario scenarioNamed(const FleetShape &fleet, const std::string &name);
+Scenario findScenario(const FleetShape &fleet, const std::string &name);
 
 } // namespace Sagecrank
--- a/Utilities/PolicyBench/Timeline.h
+++ b/Utilities/PolicyBench/Timeline.h
@@ -17,15 +17,15 @@
     // Commands.
 
     // Events of the same moment run in the order in which they were added.
-    void at(Instant when, std::function<void()> step)
+    void at(Instant when, std::function<void()> callback)
     {
-        this->events.push_back(Event{std::max(when, this->current), this->nextOrder++, std::move(step)});
+        this->events.push_back(Event{std::max(when, this->current), this->nextOrder++, std::move(callback)});
         std::push_heap(this->events.begin(), this->events.end(), later);
     }
 
-    void after(Duration delay, std::function<void()> step)
+    void after(Duration delay, std::function<void()> callback)
     {
-        this->at(this->current + delay, std::move(step));
+        this->at(this->current + delay, std::move(callback));
     }
 
     // Runs until nothing is left.
@@ -36,7 +36,7 @@
             Event event = std::move(this->events.back());
             this->events.pop_back();
             this->current = event.when;
-            event.step();
+            event.callback();
         }
     }
 
@@ -49,7 +49,7 @@
     {
         Instant when;
         std::uint64_t order;
-        std::function<void()> step;
+        std::function<void()> callback;
     };
 
     static bool later(const Event &left, const Event &right)
