--- a/Utilities/PolicyBench/CallerConnections.cpp
+++ b/Utilities/PolicyBench/CallerConnections.cpp
@@ -1,4 +1,4 @@
-// Handing out a host's connections.
+// Implements CallerConnections.h.
 #include <PolicyBench/CallerConnections.h>
 
 #include <utility>
@@ -7,7 +7,7 @@
 
 namespace {
 
-// As the users gave it for their networks.
+// Stated by the users for their networks.
 constexpr Duration connectTime = std::chrono::milliseconds(1);
 
 } // namespace
@@ -18,7 +18,7 @@
 {
 }
 
-void CallerConnections::acquire(Instant until, std::function<void()> onAcquired,
+void CallerConnections::acquire(Instant deadline, std::function<void()> onAcquired,
                                 std::function<void()> onTimeout)
 {
     if (this->idle > 0) {
@@ -29,12 +29,12 @@
         this->open += 1;
         return this->timeline.after(connectTime, std::move(onAcquired));
     }
-    const auto caller = std::make_shared<Waiter>(Waiter{std::move(onAcquired), false});
-    this->waiting.push_back(caller);
-    this->timeline.at(until, [caller, onTimeout = std::move(onTimeout)] {
-        if (caller->finished)
+    const auto waiter = std::make_shared<Waiter>(Waiter{std::move(onAcquired), false});
+    this->waiting.push_back(waiter);
+    this->timeline.at(deadline, [waiter, onTimeout = std::move(onTimeout)] {
+        if (waiter->finished)
             return;
-        caller->finished = true;
+        waiter->finished = true;
         onTimeout();
     });
 }
--- a/Utilities/PolicyBench/CallerConnections.h
+++ b/Utilities/PolicyBench/CallerConnections.h
@@ -1,5 +1,5 @@
-// The connections that callers hold to one host. A host takes so many at a time; a caller that finds all of
-// them busy waits for one as long as its patience lasts, and a new one costs time before its first call.
+// The connections of callers to one host. Their number is limited; if all are busy, a caller waits for one
+// until its timeout. Opening a new connection takes time.
 #pragma once
 
 #include <PolicyBench/Timeline.h>
@@ -16,21 +16,21 @@
 public:
     CallerConnections(Timeline &timeline, std::uint32_t limit);
 
-    // Calls `use` once a connection is there, or `without` when none was by `until`. What was used is given
-    // back.
-    void acquire(Instant until, std::function<void()> onAcquired, std::function<void()> onTimeout);
+    // Calls `onAcquired` once a connection is available, or `onTimeout` if none is by `deadline`. Each
+    // acquired connection must be released.
+    void acquire(Instant deadline, std::function<void()> onAcquired, std::function<void()> onTimeout);
     void release();
 
 private:
     struct Waiter
     {
         std::function<void()> onAcquired;
-        bool finished = false; // Served, or out of patience.
+        bool finished = false; // Has a connection or timed out.
     };
 
     Timeline &timeline;
     std::uint32_t limit;
-    std::uint32_t open = 0; // Idle ones are among them. At most the limit.
+    std::uint32_t open = 0; // Includes idle ones; at most the limit.
     std::uint32_t idle = 0;
     std::deque<std::shared_ptr<Waiter>> waiting; // In order of arrival.
 };
--- a/Utilities/PolicyBench/Cost.cpp
+++ b/Utilities/PolicyBench/Cost.cpp
@@ -1,5 +1,5 @@
-// Times the load balancer and the gate in a loop, each over several rounds, and prints the quickest and the
-// median round: the machine may be busy with other work.
+// Measures the load balancer and the gate over several rounds, and prints the fastest and the median round,
+// since other processes may disturb single rounds.
 #include <PolicyBench/Cost.h>
 
 #include <LibDecide/Gate.h>
@@ -22,7 +22,7 @@
 constexpr int rounds = 15;
 constexpr int callsPerRound = 100'000;
 
-// `call` is given the number of the call.
+// `call` gets the number of the call.
 void printCost(std::ostream &out, const char *name, const std::function<void(int)> &call)
 {
     std::vector<double> costs;
--- a/Utilities/PolicyBench/Cost.h
+++ b/Utilities/PolicyBench/Cost.h
@@ -1,4 +1,4 @@
-// What one decision costs on the path of a request, measured by the clock.
+// Measures the time of one decision on the request path.
 #pragma once
 
 #include <ostream>
--- a/Utilities/PolicyBench/FakeNode.cpp
+++ b/Utilities/PolicyBench/FakeNode.cpp
@@ -1,4 +1,4 @@
-// The node's side of the fake fleet.
+// Implements FakeNode.h.
 #include <PolicyBench/FakeNode.h>
 
 #include <algorithm>
@@ -10,9 +10,9 @@
 namespace {
 
 constexpr std::size_t maximumAttempts = 3;
-constexpr double retryShare = 0.2;
-constexpr double retryReserve = 10;
-constexpr double hedgeShare = 0.05;
+constexpr double retryBudgetShare = 0.2;
+constexpr double retryBudgetReserve = 10;
+constexpr double hedgeBudgetShare = 0.05;
 
 } // namespace
 
@@ -20,8 +20,8 @@
     : timeline(timeline)
     , limitsRetries(policy.limitsRetries)
     , hedgesCalls(policy.hedgesCalls)
-    , budget(retryShare, retryReserve)
-    , hedgeBudget(hedgeShare, retryReserve)
+    , budget(retryBudgetShare, retryBudgetReserve)
+    , hedgeBudget(hedgeBudgetShare, retryBudgetReserve)
     , services(services)
 {
     for (std::size_t service = 0; service < services; ++service)
@@ -37,10 +37,10 @@
 
 void FakeNode::setCondition(std::uint32_t service, std::size_t index, UpstreamCondition condition)
 {
-    Service &known = this->services[service];
-    for (std::size_t position = 0; position < known.links.size(); ++position) {
-        if (known.links[position].index == index)
-            known.candidates[position].condition = condition;
+    Service &upstreams = this->services[service];
+    for (std::size_t position = 0; position < upstreams.links.size(); ++position) {
+        if (upstreams.links[position].index == index)
+            upstreams.candidates[position].condition = condition;
     }
 }
 
@@ -64,8 +64,9 @@
     if (!delay)
         return;
     this->timeline.after(*delay, [this, call] {
-        const std::size_t known = this->services[call->service].candidates.size();
-        if (call->finished || call->tried.size() > 1 || known < 2 || !this->hasOutstandingAttempt(call))
+        const std::size_t upstreamCount = this->services[call->service].candidates.size();
+        if (call->finished || call->tried.size() > 1 || upstreamCount < 2
+            || !this->hasOutstandingAttempt(call))
             return;
         if (this->hedgeBudget.tryAcquireRetry(this->timeline.now()))
             this->send(call);
@@ -152,7 +153,7 @@
                        [&](const auto &entry) { return entry.first->call == call; });
 }
 
-// Ends what is still out for the call and cancels it there.
+// Ends the outstanding attempts of the call and cancels them at their upstreams.
 void FakeNode::cancelAttempts(const std::shared_ptr<Call> &call, AttemptOutcome end)
 {
     Service &service = this->services[call->service];
--- a/Utilities/PolicyBench/FakeNode.h
+++ b/Utilities/PolicyBench/FakeNode.h
@@ -1,4 +1,4 @@
-// The node that a caller reached: it places the call, sends it, and sends it again where that is safe.
+// A fake node: picks upstreams for calls, sends attempts, and retries or hedges them where that is safe.
 #pragma once
 
 #include <PolicyBench/Call.h>
@@ -17,18 +17,16 @@
 class FakeNode
 {
 public:
-    // One upstream of a service as this node sees it.
+    // The connection of this node to one upstream of a service.
     struct UpstreamLink
     {
         FakeUpstream *upstream;
-        std::size_t index; // Over the whole fleet.
-        Duration latency;  // One way to it.
+        std::size_t index; // Over all hosts of the fleet.
+        Duration latency;  // One way.
     };
 
     FakeNode(Timeline &timeline, const Policy &policy, std::uint64_t seed, std::size_t services);
 
-    // Commands.
-
     void addCandidate(std::uint32_t service, const UpstreamCandidate &candidate, const UpstreamLink &link);
     void setCondition(std::uint32_t service, std::size_t index, UpstreamCondition condition);
     void receive(const std::shared_ptr<Call> &call);
@@ -38,7 +36,7 @@
     {
         LoadBalancerHooks loadBalancer;
         std::vector<UpstreamCandidate> candidates;
-        std::vector<UpstreamLink> links; // Beside the facts, in the same order.
+        std::vector<UpstreamLink> links; // In the order of the candidates.
     };
 
     void send(const std::shared_ptr<Call> &call);
@@ -56,10 +54,10 @@
     bool hedgesCalls;
     RetryBudget budget;
     RetryBudget hedgeBudget;
-    HedgeDelay hedgeDelay; // Of interactive calls.
+    HedgeDelay hedgeDelay; // Observes interactive calls only.
     std::vector<Service> services;
     std::vector<std::pair<std::shared_ptr<UpstreamAttempt>, std::size_t>>
-        attempts; // Not answered, with position.
+        attempts; // Outstanding, with candidate position.
 };
 
 } // namespace Sagecrank
--- a/Utilities/PolicyBench/FakeUpstream.cpp
+++ b/Utilities/PolicyBench/FakeUpstream.cpp
@@ -1,4 +1,4 @@
-// The upstream's side of the fake fleet.
+// Implements FakeUpstream.h.
 #include <PolicyBench/FakeUpstream.h>
 
 #include <algorithm>
@@ -128,7 +128,7 @@
         return;
     }
     for (const auto &[ticket, running] : this->active) {
-        // What is not idempotent runs on: stopped half way it would be neither done nor not run.
+        // Non-idempotent calls run to the end: if stopped half way, they would be neither done nor not run.
         if (running.attempt != attempt || !attempt->call->idempotent())
             continue;
         this->endRun(ticket, CallOutcome::Cancelled);
@@ -161,7 +161,7 @@
     } else if (this->active.size() > this->capacity) {
         runTime = shedTime;
         callOutcome = CallOutcome::Shed;
-        call.runs -= 1; // The upstream says that it did not run.
+        call.runs -= 1; // A call that was shed did not run.
     }
     this->outcome.ranTwice += call.runs > 1 && !call.idempotent() ? 1 : 0;
     const std::uint64_t startGeneration = this->generation;
@@ -239,7 +239,7 @@
     });
 }
 
-// The process is lost and its connections break, so its callers' nodes know at once.
+// The process dies and its connections break, so the nodes notice at once.
 void FakeUpstream::crash()
 {
     const std::map<Ticket, Active> lost = std::exchange(this->active, {});
@@ -259,7 +259,7 @@
     }
 }
 
-// A cold upstream is slower by the factor at first and warms up evenly.
+// After a restart, an upstream is slower by the factor at first, which then falls linearly to 1.
 double FakeUpstream::slowdown() const
 {
     if (!this->warmupFault)
--- a/Utilities/PolicyBench/FakeUpstream.h
+++ b/Utilities/PolicyBench/FakeUpstream.h
@@ -1,4 +1,4 @@
-// One upstream and the gate beside it: slots, run times, and the faults that a scenario gives it.
+// A fake upstream with its gate: slots, run times, and the faults of a scenario.
 #pragma once
 
 #include <PolicyBench/Call.h>
@@ -20,8 +20,6 @@
     FakeUpstream(Timeline &timeline, Outcome &outcome, std::function<GateHooks()> makeGate,
                  std::uint32_t slots, std::function<void(UpstreamCondition)> announce);
 
-    // Commands.
-
     void start();
     void schedule(const Fault &fault);
     void receive(const std::shared_ptr<UpstreamAttempt> &attempt);
@@ -50,7 +48,7 @@
     std::function<GateHooks()> makeGate;
     GateHooks gate;
     std::uint32_t slots;
-    std::uint32_t capacity; // How many it runs at once before it sheds.
+    std::uint32_t capacity; // Calls that it runs at once before it sheds load.
     std::function<void(UpstreamCondition)> announce;
     UpstreamCondition condition = UpstreamCondition::NotReady;
     bool failsFast = false;
@@ -60,8 +58,8 @@
     std::optional<Instant> noCallsExpectedAfter;
     std::map<Ticket, std::shared_ptr<UpstreamAttempt>> waiting;
     std::map<Ticket, Active> active;
-    std::optional<Instant> scheduledDeadline; // The soonest advance() that is on the timeline.
-    std::uint64_t generation = 0;             // Counts lost processes; events of an earlier one are void.
+    std::optional<Instant> scheduledDeadline; // The earliest scheduled advance() of the gate.
+    std::uint64_t generation = 0;             // Counts lost processes; events of an earlier one are ignored.
 };
 
 } // namespace Sagecrank
--- a/Utilities/PolicyBench/Fleet.cpp
+++ b/Utilities/PolicyBench/Fleet.cpp
@@ -1,4 +1,4 @@
-// Builds the fake fleet and plays its callers.
+// Implements Fleet.h: builds the fleet and simulates its callers.
 #include <PolicyBench/Fleet.h>
 
 #include <cmath>
@@ -13,10 +13,10 @@
 constexpr Duration sameZoneLatency = 100us;
 constexpr Duration warmupTime = 500ms;
 
-// Run times scatter like this around their mean, with a long tail.
+// Sigma of the lognormal run times, which have a long tail.
 constexpr double runTimeSigma = 0.6;
 
-// A refused or disappointed caller comes back so many times at most.
+// Including the first attempt of a caller.
 constexpr std::uint32_t maximumAttempts = 3;
 
 } // namespace
@@ -173,7 +173,7 @@
     };
     if (!this->scenario.limitedConnections)
         return sendToNode();
-    // A caller that got no connection knows that nothing of its call ran.
+    // Without a connection the call did not run.
     entry.connections->acquire(call->deadline, sendToNode, [this, request] {
         Response response;
         response.kind = ResponseKind::NotRun;
@@ -193,7 +193,7 @@
         this->timeline.after(response.retryAfter, [this, request] { this->startAttempt(request); });
         return;
     }
-    // Whether it ran is not known: only what may run twice is asked for again, and at once.
+    // The call may have run, so it is retried only if it may run twice, and without delay.
     if (request.callClass != CallClass::NonIdempotent)
         this->startAttempt(request);
 }
@@ -222,7 +222,7 @@
     }
 }
 
-// A returning caller may reach another node than before.
+// A retry may enter through another node.
 std::size_t FakeFleet::entryHostFor(const CallerRequest &request) const
 {
     const std::uint64_t mixed = (request.number * 3 + request.attempt) * 0x9E3779B97F4A7C15ULL;
--- a/Utilities/PolicyBench/Fleet.h
+++ b/Utilities/PolicyBench/Fleet.h
@@ -1,6 +1,6 @@
-// A small discrete-event fake of one user's fleet: callers, nodes, and upstreams with their gates, with time
-// that is passed in and no sockets. It stands at the decisions' interfaces only; messages take their way and
-// are never lost unless a fault says so.
+// A discrete-event simulation of one user's fleet: callers, nodes, and upstreams with their gates, with
+// simulated time and without sockets. It uses only the interfaces of LibDecide. Messages arrive after the
+// latency of their path and are lost only by a fault.
 #pragma once
 
 #include <PolicyBench/CallerConnections.h>
@@ -24,7 +24,7 @@
 public:
     FakeFleet(const FleetShape &shape, const Scenario &scenario, const Policy &policy, std::uint64_t seed);
 
-    // Runs the scenario to its end. The same arguments give the same outcome.
+    // Runs the scenario to its end. Deterministic for the same arguments.
     Outcome run();
 
 private:
@@ -38,14 +38,14 @@
         std::unique_ptr<CallerConnections> connections;
     };
 
-    // What a caller wants; it may attempt it more than once.
+    // A request of a caller, which may make several attempts.
     struct CallerRequest
     {
         std::uint32_t service;
         CallClass callClass;
         Duration work;
         std::uint64_t number;
-        bool counted; // Not of the first moments, in which estimates are still guesses.
+        bool counted; // After the warm-up, in which estimates are still inaccurate.
         std::uint32_t attempt = 0;
         Instant sentAt;
     };
@@ -65,7 +65,7 @@
     Scenario scenario;
     Timeline timeline;
     Outcome outcome;
-    std::mt19937_64 arrivals; // Independent of the policy, so that all policies meet the same callers.
+    std::mt19937_64 arrivals; // Independent of the policy, so that all policies get the same callers.
     std::vector<Host> hosts;
     std::uint64_t requestCount = 0;
     std::uint64_t finishedAttempts = 0;
--- a/Utilities/PolicyBench/Main.cpp
+++ b/Utilities/PolicyBench/Main.cpp
@@ -1,4 +1,4 @@
-// Measures each policy at both users' sizes and in every scenario, and prints a Markdown table.
+// Simulates each policy in every scenario with the fleet sizes of both users, and prints a Markdown table.
 #include <PolicyBench/Cost.h>
 #include <PolicyBench/Fleet.h>
 #include <PolicyBench/Policy.h>
@@ -27,7 +27,7 @@
     bool ablate = false;
     bool summary = false;
     bool cost = false;
-    std::uint32_t duration = 0; // Seconds; zero keeps the scenario's own.
+    std::uint32_t duration = 0; // In seconds; zero: as in the scenario.
     bool connections = false;
     std::vector<std::string> fleets;
     std::vector<std::string> scenarios;
@@ -50,7 +50,7 @@
     return all;
 }
 
-// The first name that was asked for and does not exist.
+// Returns the first selected name that does not exist.
 std::optional<std::string> unknownName(const BenchOptions &benchOptions)
 {
     std::vector<std::string> known{largeService().name};
--- a/Utilities/PolicyBench/Outcome.cpp
+++ b/Utilities/PolicyBench/Outcome.cpp
@@ -1,4 +1,4 @@
-// Sums and quantiles of outcomes.
+// Implements Outcome.h.
 #include <PolicyBench/Outcome.h>
 
 #include <algorithm>
--- a/Utilities/PolicyBench/Outcome.h
+++ b/Utilities/PolicyBench/Outcome.h
@@ -1,4 +1,4 @@
-// What callers got out of one run, by class.
+// The outcomes of one run for its callers, by class.
 #pragma once
 
 #include <LibConfig/Model.h>
@@ -13,13 +13,13 @@
 struct ClassOutcome
 {
     std::uint64_t callers = 0;
-    std::uint64_t inTime = 0;   // Answered in time at the first attempt.
-    std::uint64_t served = 0;   // Answered in time at some attempt.
-    std::uint64_t refused = 0;  // First attempts refused as not run.
-    std::uint64_t failed = 0;   // First attempts that the upstream answered with a failure.
-    std::uint64_t timedOut = 0; // First attempts whose caller waited until the end of its patience.
-    std::vector<Duration> servedLatencies;  // Latencies of first attempts answered in time.
-    std::vector<Duration> refusalLatencies; // How long first attempts took to be refused.
+    std::uint64_t inTime = 0;               // Done in time at the first attempt.
+    std::uint64_t served = 0;               // Done in time at any attempt.
+    std::uint64_t refused = 0;              // First attempts refused as not run.
+    std::uint64_t failed = 0;               // First attempts that failed at the upstream.
+    std::uint64_t timedOut = 0;             // First attempts without a result by the caller's timeout.
+    std::vector<Duration> servedLatencies;  // Latencies of first attempts done in time.
+    std::vector<Duration> refusalLatencies; // Latencies of first attempts that were refused.
 
     void add(const ClassOutcome &other);
     double share(std::uint64_t part) const;
@@ -29,16 +29,16 @@
 {
     std::array<ClassOutcome, 3> classes;
     double busySeconds = 0;   // Slot time of upstreams.
-    double wastedSeconds = 0; // The part of it that was run for callers who had gone.
+    double wastedSeconds = 0; // The part of it that ran for calls already finished at the node.
 
-    // Breaches of what must always hold; zero whatever the load.
+    // Violations of invariants; zero under any load.
     std::uint64_t ranAfterRefusal = 0;
     std::uint64_t ranTwice = 0;                 // Non-idempotent attempts that ran more than once.
     std::uint64_t overSlots = 0;                // Starts above the announced slots.
-    std::uint64_t unanswered = 0;               // Attempts whose caller got no final answer.
-    std::uint64_t interruptedByDrain = 0;       // Calls cut off because a draining upstream left.
+    std::uint64_t unanswered = 0;               // Attempts without a final response.
+    std::uint64_t interruptedByDrain = 0;       // Calls still queued or running at the end of a drain.
     std::uint64_t sentToDraining = 0;           // Calls sent to a draining upstream after the membership lag.
-    std::uint64_t refusedWithoutRetryAfter = 0; // Refusals that did not say when to come back.
+    std::uint64_t refusedWithoutRetryAfter = 0; // Refusals without a retry delay.
 
     ClassOutcome &of(CallClass callClass) { return this->classes[static_cast<std::size_t>(callClass)]; }
     const ClassOutcome &of(CallClass callClass) const
@@ -50,7 +50,7 @@
     std::uint64_t violations() const;
 };
 
-// The given quantile, zero when there is none.
+// Returns the given quantile, or zero if there are no values.
 Duration quantile(std::vector<Duration> values, double share);
 
 } // namespace Sagecrank
--- a/Utilities/PolicyBench/Policy.cpp
+++ b/Utilities/PolicyBench/Policy.cpp
@@ -1,5 +1,5 @@
-// Policies as hooks. A mechanism of ours is taken out by what the gate or load balancer is told, not by a
-// switch in it.
+// Implements Policy.h. Ablations disable a mechanism by the settings or inputs of the gate or the load
+// balancer, not by a switch in them.
 #include <PolicyBench/Policy.h>
 
 #include <algorithm>
@@ -16,7 +16,7 @@
 
 using namespace std::chrono_literals;
 
-// Starts what fits into the slots and queues the rest for ever, in order of arrival.
+// Starts calls while slots are free, and queues the rest without a limit in order of arrival.
 class FifoGate
 {
 public:
@@ -169,7 +169,7 @@
                                   std::span<const std::size_t> tried) -> std::optional<std::size_t> {
         std::optional<std::size_t> best;
         int fewest = std::numeric_limits<int>::max();
-        const std::size_t start = (*random)() % candidates.size(); // Ties go to a random one.
+        const std::size_t start = (*random)() % candidates.size(); // Breaks ties at random.
         for (std::size_t step = 0; step < candidates.size(); ++step) {
             const std::size_t index = (start + step) % candidates.size();
             const int count = (*counts)[std::string(candidates[index].id)];
@@ -193,7 +193,7 @@
     return policy;
 }
 
-// The gate is told that every call may take as long as it likes.
+// Passes a deadline to the gate that is never missed.
 GateHooks withoutDeadlines(std::uint64_t seed)
 {
     GateHooks hooks = sagecrankGate(seed);
@@ -204,7 +204,7 @@
     return hooks;
 }
 
-// The gate is told that every call is interactive.
+// Passes every call to the gate as interactive.
 GateHooks withoutClasses(std::uint64_t seed)
 {
     GateHooks hooks = sagecrankGate(seed);
@@ -215,7 +215,7 @@
     return hooks;
 }
 
-// The gate does not learn that the upstream sheds.
+// Hides from the gate that the upstream sheds load.
 GateHooks withoutAdaptiveLimit(std::uint64_t seed)
 {
     GateHooks hooks = sagecrankGate(seed);
@@ -226,7 +226,7 @@
     return hooks;
 }
 
-// Every refused caller is told the same time to come back.
+// Gives every refused caller the same retry delay.
 GateHooks withFixedRetryDelay(std::uint64_t seed)
 {
     static constexpr Duration fixedRetryDelay = 100ms;
@@ -249,7 +249,7 @@
     return policy;
 }
 
-// Ours with another length of queue.
+// Changes the maximum queue length.
 Policy ablationWithQueue(std::uint32_t length)
 {
     return ablation("queue-" + std::to_string(length),
--- a/Utilities/PolicyBench/Policy.h
+++ b/Utilities/PolicyBench/Policy.h
@@ -1,5 +1,5 @@
-// The policies that are compared: ours, ours without one of its mechanisms, and plain baselines. The fake
-// fleet sees them through hooks only.
+// The policies under comparison: that of sagecrank, ablations of it, and simple baselines. The fake fleet
+// accesses them through hooks only.
 #pragma once
 
 #include <LibDecide/Gate.h>
@@ -32,15 +32,15 @@
     std::function<GateHooks(std::uint64_t seed)> makeGate;
     std::function<LoadBalancerHooks(std::uint64_t seed)> makeLoadBalancer;
     bool limitsRetries = true;
-    bool hedgesCalls = false; // Sends a second copy of an interactive call that is late.
+    bool hedgesCalls = false; // Sends a second attempt of a late interactive call.
 };
 
-// Round robin over all upstreams and no admission: an endless queue in order of arrival.
+// Round robin over all upstreams without admission control: an unlimited queue in order of arrival.
 Policy roundRobinPolicy();
-// The fewest own outstanding calls, and no admission.
+// Fewest outstanding calls of the node itself, without admission control.
 Policy leastOutstandingPolicy();
 Policy sagecrankPolicy();
-// Ours with one mechanism taken out; named "no-...".
+// The policy of sagecrank with one mechanism disabled or one setting changed, such as "no-ejection".
 std::vector<Policy> ablationPolicies();
 
 } // namespace Sagecrank
--- a/Utilities/PolicyBench/Report.cpp
+++ b/Utilities/PolicyBench/Report.cpp
@@ -1,4 +1,4 @@
-// Table rows.
+// Implements Report.h.
 #include <PolicyBench/Report.h>
 
 #include <LibDecide/SlotShares.h>
@@ -11,23 +11,23 @@
 
 namespace {
 
-std::string percent(double share)
+std::string formatPercent(double share)
 {
     std::ostringstream text;
     text << std::fixed << std::setprecision(2) << 100 * share;
     return text.str();
 }
 
-std::string milliseconds(Duration duration)
+std::string formatMilliseconds(Duration duration)
 {
     std::ostringstream text;
     text << std::fixed << std::setprecision(1) << std::chrono::duration<double, std::milli>(duration).count();
     return text.str();
 }
 
-std::string wasted(const Outcome &outcome)
+std::string formatWastedShare(const Outcome &outcome)
 {
-    return percent(outcome.busySeconds == 0 ? 0 : outcome.wastedSeconds / outcome.busySeconds);
+    return formatPercent(outcome.busySeconds == 0 ? 0 : outcome.wastedSeconds / outcome.busySeconds);
 }
 
 } // namespace
@@ -46,12 +46,14 @@
     for (const CallClass callClass : classPriorityOrder) {
         const ClassOutcome &row = outcome.of(callClass);
         out << "| " << scenario << " | " << policy << " | " << callClassNames.name(callClass) << " | "
-            << row.callers << " | " << percent(row.share(row.inTime)) << " | "
-            << percent(row.share(row.served)) << " | " << milliseconds(quantile(row.servedLatencies, 0.5))
-            << " | " << milliseconds(quantile(row.servedLatencies, 0.99)) << " | "
-            << percent(row.share(row.refused)) << " | " << milliseconds(quantile(row.refusalLatencies, 0.99))
-            << " | " << percent(row.share(row.failed)) << " | " << percent(row.share(row.timedOut)) << " | "
-            << wasted(outcome) << " | " << outcome.violations() << " |\n";
+            << row.callers << " | " << formatPercent(row.share(row.inTime)) << " | "
+            << formatPercent(row.share(row.served)) << " | "
+            << formatMilliseconds(quantile(row.servedLatencies, 0.5)) << " | "
+            << formatMilliseconds(quantile(row.servedLatencies, 0.99)) << " | "
+            << formatPercent(row.share(row.refused)) << " | "
+            << formatMilliseconds(quantile(row.refusalLatencies, 0.99)) << " | "
+            << formatPercent(row.share(row.failed)) << " | " << formatPercent(row.share(row.timedOut))
+            << " | " << formatWastedShare(outcome) << " | " << outcome.violations() << " |\n";
     }
 }
 
@@ -70,13 +72,13 @@
             << text(outcome.of(CallClass::NonIdempotent)) << " / " << text(outcome.of(CallClass::Batch));
     };
     out << "| " << scenario << " | " << policy;
-    cell([](const ClassOutcome &row) { return percent(row.share(row.inTime)); });
-    cell([](const ClassOutcome &row) { return percent(row.share(row.served)); });
-    cell([](const ClassOutcome &row) { return milliseconds(quantile(row.servedLatencies, 0.5)); });
-    cell([](const ClassOutcome &row) { return milliseconds(quantile(row.servedLatencies, 0.99)); });
-    cell([](const ClassOutcome &row) { return percent(row.share(row.refused)); });
-    cell([](const ClassOutcome &row) { return milliseconds(quantile(row.refusalLatencies, 0.99)); });
-    out << " | " << wasted(outcome) << " | " << outcome.violations() << " |\n";
+    cell([](const ClassOutcome &row) { return formatPercent(row.share(row.inTime)); });
+    cell([](const ClassOutcome &row) { return formatPercent(row.share(row.served)); });
+    cell([](const ClassOutcome &row) { return formatMilliseconds(quantile(row.servedLatencies, 0.5)); });
+    cell([](const ClassOutcome &row) { return formatMilliseconds(quantile(row.servedLatencies, 0.99)); });
+    cell([](const ClassOutcome &row) { return formatPercent(row.share(row.refused)); });
+    cell([](const ClassOutcome &row) { return formatMilliseconds(quantile(row.refusalLatencies, 0.99)); });
+    out << " | " << formatWastedShare(outcome) << " | " << outcome.violations() << " |\n";
 }
 
 } // namespace Sagecrank
--- a/Utilities/PolicyBench/Report.h
+++ b/Utilities/PolicyBench/Report.h
@@ -9,11 +9,11 @@
 namespace Sagecrank {
 
 void printHeader(std::ostream &out);
-// One row for each class.
+// Prints one row per class.
 void printRows(std::ostream &out, const std::string &scenario, const std::string &policy,
                const Outcome &outcome);
 void printSummaryHeader(std::ostream &out);
-// One row for all classes: interactive / non-idempotent / batch.
+// Prints one row, with values for interactive / non-idempotent / batch.
 void printSummary(std::ostream &out, const std::string &scenario, const std::string &policy,
                   const Outcome &outcome);
 
--- a/Utilities/PolicyBench/Scenario.cpp
+++ b/Utilities/PolicyBench/Scenario.cpp
@@ -1,4 +1,4 @@
-// The tables of fleets and scenarios.
+// Implements Scenario.h.
 #include <PolicyBench/Scenario.h>
 
 #include <algorithm>
@@ -9,14 +9,15 @@
 
 namespace {
 
-// Slot checks and crew lookups; reservations and invoices; group lookups and archive pulls.
+// Interactive: slot checks and crew lookups; non-idempotent: reservations and invoices; batch: group lookups
+// and archive reads.
 constexpr std::array<ClassLoad, 3> usualMix{
     ClassLoad{0.75, 4ms, 100ms},
     ClassLoad{0.20, 10ms, 400ms},
     ClassLoad{0.05, 40ms, 4s},
 };
 
-// The same, but a batch call runs a hundred times as long as an interactive one.
+// A batch call runs a hundred times as long as an interactive call.
 constexpr std::array<ClassLoad, 3> longBatchMix{
     ClassLoad{0.78, 4ms, 100ms},
     ClassLoad{0.20, 10ms, 400ms},
@@ -32,7 +33,7 @@
     return scenario;
 }
 
-// One server of each service has the fault, for most of the run.
+// One server of each service has the fault.
 Scenario makeFaultScenario(std::string name, double load, FaultKind kind, double factor,
                            const FleetShape &fleet)
 {
@@ -42,7 +43,7 @@
     return scenario;
 }
 
-// Half of the servers of each service return at once, as after a lost rack.
+// Half of the servers of each service restart at once, as after the loss of a rack.
 Scenario makeColdStart(const FleetShape &fleet)
 {
     Scenario scenario = makeScenario("cold-start", 0.5);
@@ -62,7 +63,7 @@
     }
 }
 
-// Every server bears half of what it announces.
+// Every server sheds load above half of its announced slots.
 Scenario makeAllShed(const FleetShape &fleet)
 {
     Scenario scenario = makeScenario("all-shed", 0.45);
@@ -70,7 +71,7 @@
     return scenario;
 }
 
-// What all servers depend on is slow for two seconds: everything runs thirty times longer.
+// A shared dependency is slow for two seconds: all calls run thirty times longer.
 Scenario makeAllSlow(const FleetShape &fleet)
 {
     Scenario scenario = makeScenario("all-slow", 0.6);
--- a/Utilities/PolicyBench/Scenario.h
+++ b/Utilities/PolicyBench/Scenario.h
@@ -1,5 +1,5 @@
-// The fleets and the loads that policies are measured at: both users' sizes of today, and the faults and
-// kinds of demand that the decisions are made for.
+// The fleets and loads of the simulation: the current sizes of both users, and the faults and load patterns
+// that LibDecide is designed for.
 #pragma once
 
 #include <LibConfig/Model.h>
@@ -15,28 +15,28 @@
 struct FleetShape
 {
     std::string name;
-    std::vector<std::uint32_t> servers; // For each service.
+    std::vector<std::uint32_t> servers; // By service.
     std::uint32_t slots;
     std::uint32_t zones;
-    Duration crossZoneLatency; // One way between two zones.
-    Duration callerLatency;    // One way between a caller and any node.
-    std::uint32_t connections; // That a host takes from callers.
+    Duration crossZoneLatency; // One way, between two zones.
+    Duration callerLatency;    // One way, between a caller and any node.
+    std::uint32_t connections; // Maximum number of caller connections of a host.
 };
 
 struct ClassLoad
 {
     double share;           // Of all calls.
     Duration runTime;       // Mean on a healthy upstream.
-    Duration callerTimeout; // The caller gives up after this.
+    Duration callerTimeout; // The caller stops waiting after this.
 };
 
 enum class FaultKind : std::uint8_t {
-    Slow,      // Runs everything longer by the factor.
-    FailsFast, // Fails at once and still says that it is ready.
-    Sheds,     // Bears only the factor's share of the slots that it announces.
-    Restarts,  // Absent for half a second, then slower by the factor until it is warm.
-    Drains,    // Takes nothing new and is gone at the end of the fault.
-    Silent,    // Its host is gone without a word: nothing comes back.
+    Slow,      // Run times are multiplied by the factor.
+    FailsFast, // Calls fail at once while the upstream reports ready.
+    Sheds,     // Sheds load above the factor's share of its announced slots.
+    Restarts,  // Down for 500 ms, then slower by the factor until it is warm.
+    Drains,    // Accepts no new calls and stops at the end of the fault.
+    Silent,    // Its host fails silently: no responses and no connection errors.
 };
 
 struct Fault
@@ -52,21 +52,20 @@
 struct Scenario
 {
     std::string name;
-    double load; // Demand as a share of what all slots bear.
+    double load; // Demand as a share of the capacity of all slots.
     std::array<ClassLoad, 3> classes;
-    double burstFactor = 1; // Demand during a burst, as a multiple.
+    double burstFactor = 1; // Multiplies the demand during a burst.
     Duration burstInterval{};
     Duration burstDuration{};
-    bool limitedConnections = false; // Callers need one of the host's connections for each call.
-    bool singleEntryZone = false;    // All callers come in through the nodes of one zone.
+    bool limitedConnections = false; // Each call needs one of the limited connections of its entry host.
+    bool singleEntryZone = false;    // All callers enter through the nodes of one zone.
     std::vector<Fault> faults;
     Duration duration = std::chrono::seconds(6);
-    Duration membershipLag =
-        std::chrono::milliseconds(800); // From a change of condition to all nodes' knowing.
+    Duration membershipLag = std::chrono::milliseconds(800); // Delay until all nodes learn a new condition.
 };
 
 std::vector<FleetShape> currentFleets();
-// One service of a size that the users expect in two years; not run by default.
+// One service of the size that the users expect in two years; not run by default.
 FleetShape largeService();
 std::vector<Scenario> scenariosFor(const FleetShape &fleet);
 Scenario findScenario(const FleetShape &fleet, const std::string &name);
--- a/Utilities/PolicyBench/Timeline.h
+++ b/Utilities/PolicyBench/Timeline.h
@@ -1,4 +1,4 @@
-// The events of a fake run in the order of their time. There is no clock: time is what the next event says.
+// The event queue of a simulation, ordered by time. Simulated time advances to the time of the next event.
 #pragma once
 
 #include <LibCore/Time.h>
@@ -14,9 +14,7 @@
 class Timeline
 {
 public:
-    // Commands.
-
-    // Events of the same moment run in the order in which they were added.
+    // Events at the same time run in the order in which they were added.
     void at(Instant when, std::function<void()> callback)
     {
         this->events.push_back(Event{std::max(when, this->current), this->nextOrder++, std::move(callback)});
@@ -28,7 +26,7 @@
         this->at(this->current + delay, std::move(callback));
     }
 
-    // Runs until nothing is left.
+    // Runs until no events are left.
     void run()
     {
         while (!this->events.empty()) {
@@ -40,8 +38,6 @@
         }
     }
 
-    // Queries.
-
     Instant now() const { return this->current; }
 
 private:
@@ -57,7 +53,7 @@
         return std::pair(left.when, left.order) > std::pair(right.when, right.order);
     }
 
-    std::vector<Event> events; // A heap with the soonest on top.
+    std::vector<Event> events; // A heap with the earliest event on top.
     Instant current{};
     std::uint64_t nextOrder = 0;
 };
