--- a/Libraries/LibConfig/Check.h
+++ b/Libraries/LibConfig/Check.h
@@ -17,9 +17,9 @@
 
 // Of what callers may send. A request line and the headers that HTTP asks for need some hundred bytes. A body
 // goes from node to node whole, in one frame, which has room for 16 MiB and its headers.
-inline constexpr std::uint32_t leastHeaderBytes = 1024;
-inline constexpr std::uint32_t mostHeaderBytes = 512 * 1024;
-inline constexpr std::uint32_t mostBodyBytes = 16 * 1024 * 1024;
+inline constexpr std::uint32_t minimumHeaderBytes = 1024;
+inline constexpr std::uint32_t maximumHeaderBytes = 512 * 1024;
+inline constexpr std::uint32_t maximumBodyBytes = 16 * 1024 * 1024;
 
 // The prefix without a trailing slash; two routes whose normalised prefixes are equal match the same paths.
 std::string_view normalisedPrefix(std::string_view prefix);
--- a/Libraries/LibConfig/SourceReader.cpp
+++ b/Libraries/LibConfig/SourceReader.cpp
@@ -208,8 +208,8 @@
         reader.allowOnly(
             {"maximum_header_bytes", "maximum_body_bytes", "header_timeout_ms", "idle_timeout_ms"});
         CallersSource &into = this->source.callers;
-        into.headerBytes = reader.number("maximum_header_bytes", leastHeaderBytes, mostHeaderBytes);
-        into.bodyBytes = reader.number("maximum_body_bytes", 1, mostBodyBytes);
+        into.headerBytes = reader.number("maximum_header_bytes", minimumHeaderBytes, maximumHeaderBytes);
+        into.bodyBytes = reader.number("maximum_body_bytes", 1, maximumBodyBytes);
         into.headerTimeout = reader.duration("header_timeout_ms");
         into.idleTimeout = reader.duration("idle_timeout_ms");
     }
--- a/Services/Node/Node.cpp
+++ b/Services/Node/Node.cpp
@@ -27,7 +27,7 @@
 constexpr std::size_t maximumSpansShown = 500;
 
 // The largest body that a configuration may allow must fit into a frame between nodes.
-static_assert(mostBodyBytes == maximumBodySize);
+static_assert(maximumBodyBytes == maximumBodySize);
 
 std::function<std::uint64_t()> makeRandom()
 {
@@ -317,7 +317,7 @@
         return limits;
     const CallerLimits &configured = snapshot->configuration().manifest.limits;
     if (configured.headerBytes != 0)
-        limits.headerBytes = std::min(configured.headerBytes, mostHeaderBytes);
+        limits.headerBytes = std::min(configured.headerBytes, maximumHeaderBytes);
     if (configured.bodyBytes != 0)
         limits.bodyBytes = std::min<std::uint64_t>(configured.bodyBytes, maximumBodySize);
     if (configured.headerTimeout.count() != 0)
