--- a/Services/Node/CallReasons.h
+++ b/Services/Node/CallReasons.h
@@ -1,6 +1,6 @@
 // Reasons why a call did not run or its outcome is unknown, in addition to those of LibDecide and LibSource.
-// They are sent to other nodes and to callers, and the placer distinguishes some of them, so each string is
-// defined once.
+// They are sent to other nodes and to callers, and the load balancer distinguishes some of them, so each
+// string is defined once.
 #pragma once
 
 #include <string_view>
--- a/Services/Node/Callers/ForwardedCall.cpp
+++ b/Services/Node/Callers/ForwardedCall.cpp
@@ -59,7 +59,7 @@
     return response.reason == reasonKeyInProgress ? AttemptOutcome::RefusedNotRun : AttemptOutcome::Unknown;
 }
 
-ReportedLoad toToldLoad(const CallResponse &response)
+ReportedLoad toReportedLoad(const CallResponse &response)
 {
     ReportedLoad load;
     load.freeSlots = response.freeSlots;
@@ -135,7 +135,7 @@
     target.lateAccepted = true;
     {
         const std::lock_guard guard(this->service->mutex);
-        this->service->placer.recordStart(target.candidate.id, SteadyClock::now());
+        this->service->loadBalancer.recordStart(target.candidate.id, SteadyClock::now());
     }
     this->startAttempt(std::move(target));
     return true;
@@ -161,10 +161,10 @@
     const std::lock_guard guard(this->service->mutex);
     if (this->attempts.empty())
         this->service->retries.recordFirstAttempt(now);
-    LoadBalancer &placer = this->service->placer;
+    LoadBalancer &loadBalancer = this->service->loadBalancer;
     const auto place = [&] {
-        return placer.pick(now, service->facts, this->plan.callClass, tried, this->request.kind,
-                           this->request.body.size());
+        return loadBalancer.pick(now, service->upstreams, this->plan.callClass, tried, this->request.kind,
+                                 this->request.body.size());
     };
     const auto index = place();
     if (!index)
@@ -172,9 +172,9 @@
     tried.push_back(*index);
     // A call that is already late cannot meet its target at any gate.
     target.lateAccepted = this->isLate(now) || !place().has_value();
-    this->service->placer.recordStart(service->facts[*index].id, now);
+    this->service->loadBalancer.recordStart(service->upstreams[*index].id, now);
     target.candidate = service->candidates[*index];
-    target.sameHost = service->facts[*index].sameHost;
+    target.sameHost = service->upstreams[*index].sameHost;
     return true;
 }
 
@@ -225,7 +225,7 @@
     attempt.span->field("outcome", outcomeNames.name(response.outcome));
     attempt.span->end(now);
     attempt.gateDraining = response.draining;
-    this->reportToPlacer(attempt, response, now);
+    this->reportToLoadBalancer(attempt, response, now);
     if (!this->callback)
         return;
     const bool succeeded = response.outcome == Outcome::Done && response.status < 500;
@@ -250,16 +250,16 @@
     this->finish(std::move(response));
 }
 
-void ForwardedCall::reportToPlacer(const Attempt &attempt, const CallResponse &response, Instant now)
+void ForwardedCall::reportToLoadBalancer(const Attempt &attempt, const CallResponse &response, Instant now)
 {
     const std::lock_guard guard(this->service->mutex);
     const Duration took = now - attempt.startedAt;
-    this->service->placer.recordEnd(attempt.target.candidate.id, now, this->plan.callClass, took,
-                                    toPlacedEnd(response), this->request.kind);
+    this->service->loadBalancer.recordEnd(attempt.target.candidate.id, now, this->plan.callClass, took,
+                                          toPlacedEnd(response), this->request.kind);
     const bool gateResponded = !isConnectionFailure(response) && response.reason != reasonPeerCongested;
     if (gateResponded)
-        this->service->placer.recordReportedLoad(attempt.target.candidate.id, now, toToldLoad(response),
-                                                 this->request.kind);
+        this->service->loadBalancer.recordReportedLoad(attempt.target.candidate.id, now,
+                                                       toReportedLoad(response), this->request.kind);
     if (response.outcome == Outcome::Done && this->plan.hedged)
         this->service->hedge.observe(took);
 }
@@ -395,7 +395,7 @@
         {
             const std::lock_guard guard(this->service->mutex);
             const Instant now = SteadyClock::now();
-            this->service->placer.recordEnd(
+            this->service->loadBalancer.recordEnd(
                 attempt.target.candidate.id, now, this->plan.callClass, now - attempt.startedAt,
                 now >= this->plan.deadline ? AttemptOutcome::Unknown : AttemptOutcome::Cancelled);
         }
--- a/Services/Node/Callers/ForwardedCall.h
+++ b/Services/Node/Callers/ForwardedCall.h
@@ -110,7 +110,7 @@
     bool chooseTarget(Target &target);
     void send(std::size_t index);
     void handleAttemptResponse(std::size_t index, CallResponse response);
-    void reportToPlacer(const Attempt &attempt, const CallResponse &response, Instant now);
+    void reportToLoadBalancer(const Attempt &attempt, const CallResponse &response, Instant now);
     bool retry(const CallResponse &response, Instant now);
     void finish(CallResponse response);
     void recordRefusal(const CallResponse &response);
--- a/Services/Node/Callers/ServiceState.h
+++ b/Services/Node/Callers/ServiceState.h
@@ -13,15 +13,15 @@
 struct ServiceState
 {
     // `retryReserve` is the number of retries in ten seconds allowed even to a service with hardly any calls.
-    ServiceState(LoadBalancerSettings placing, double retryShare, double retryReserve,
+    ServiceState(LoadBalancerSettings settings, double retryShare, double retryReserve,
                  std::function<std::uint64_t()> random)
-        : placer(placing, std::move(random))
+        : loadBalancer(settings, std::move(random))
         , retries(retryShare, retryReserve)
     {
     }
 
     std::mutex mutex; // Held for one decision at a time.
-    LoadBalancer placer;
+    LoadBalancer loadBalancer;
     RetryBudget retries;
     HedgeDelay hedge;
 };
--- a/Services/Node/Callers/UpstreamView.cpp
+++ b/Services/Node/Callers/UpstreamView.cpp
@@ -49,7 +49,7 @@
 {
     for (const auto &[cluster, state] : this->states) {
         const std::lock_guard guard(state->mutex);
-        state->placer.evictUnused(before);
+        state->loadBalancer.evictUnused(before);
     }
 }
 
@@ -69,13 +69,13 @@
             service->state = state;
         }
         service->candidates.push_back({member.id, member.peerAddress});
-        service->facts.push_back(
+        service->upstreams.push_back(
             {{}, member.zone == this->ownZone, member.id == this->ownId, condition, member.slots});
     }
     // The candidate vectors no longer change, so views into their ids stay valid.
     for (const auto &[cluster, service] : view->services) {
         for (std::size_t index = 0; index < service->candidates.size(); ++index)
-            service->facts[index].id = service->candidates[index].id;
+            service->upstreams[index].id = service->candidates[index].id;
     }
     return view;
 }
--- a/Services/Node/Callers/UpstreamView.h
+++ b/Services/Node/Callers/UpstreamView.h
@@ -24,7 +24,7 @@
 {
     std::shared_ptr<ServiceState> state;
     std::vector<Candidate> candidates;
-    std::vector<UpstreamCandidate> facts; // Parallel to `candidates`; their ids are views into it.
+    std::vector<UpstreamCandidate> upstreams; // Parallel to `candidates`; their ids are views into it.
 };
 
 class UpstreamView
--- a/Services/Node/Control/ControlFollower.cpp
+++ b/Services/Node/Control/ControlFollower.cpp
@@ -86,9 +86,9 @@
     this->advanceTimer.cancel();
 }
 
-void ControlFollower::versionAnnounced(const ConfigurationVersion &mark)
+void ControlFollower::versionAnnounced(const ConfigurationVersion &version)
 {
-    this->plan.setTarget(mark, SteadyClock::now());
+    this->plan.setTarget(version, SteadyClock::now());
     this->pullIfNeeded();
 }
 
@@ -152,10 +152,10 @@
             {now - this->sourceAnsweredAt, this->poll.consecutiveFailures(), found.version});
     this->sourceAnsweredAt = now;
     this->poll.answered(now, this->poller(), read.number, found.version > known);
-    const ConfigurationVersion mark{found.version, found.digest.high, found.digest.low};
-    this->plan.sourceReported(mark, now);
-    if (mark.version != 0)
-        this->hooks.headRead(mark);
+    const ConfigurationVersion head{found.version, found.digest.high, found.digest.low};
+    this->plan.sourceReported(head, now);
+    if (head.version != 0)
+        this->hooks.headRead(head);
 }
 
 void ControlFollower::headReadFailed(const HeadRead &read, const Error &error, Duration waited)
@@ -216,9 +216,9 @@
     const Instant now = SteadyClock::now();
     for (const OverduePull &pull : this->plan.takeOverdue(now))
         this->reportOverduePull(pull);
-    // Accepts any peer that holds a newer version than this node, not only holders of the wanted one. When
-    // versions are published faster than gossip spreads who holds the newest, no holder of it may be known,
-    // and the node would stay many versions behind for as long as that lasts.
+    // Accepts any peer that holds a newer version than this node, not only holders of the target version.
+    // When versions are published faster than gossip spreads who holds the newest, no holder of it may be
+    // known, and the node would stay many versions behind for as long as that lasts.
     const auto holders = this->hooks.holders(held + 1);
     const PullStep step = this->plan.next(now, held, this->hooks.rank(), holders);
     if (step.source == PullSource::Platform)
@@ -263,7 +263,7 @@
     });
 }
 
-// The source may hold a newer version than the one that was wanted.
+// The source may hold a newer version than the target.
 Result<void> ControlFollower::applyPlatformResponse(Result<SiteConfiguration> configuration)
 {
     SiteConfiguration found = TRY(std::move(configuration));
@@ -330,9 +330,9 @@
 void ControlFollower::pullFailed(std::uint64_t number, const Error &error, PullFailure failure)
 {
     ++this->counts.pullFailures;
-    const ConfigurationVersion mark = this->plan.targetVersion();
+    const ConfigurationVersion target = this->plan.targetVersion();
     this->plan.failed(SteadyClock::now(), number, failure, {});
-    if (this->plan.isRejected(mark))
+    if (this->plan.isRejected(target))
         ++this->counts.refusedVersions;
     this->hooks.failed(error);
 }
--- a/Services/Node/Control/ControlFollower.h
+++ b/Services/Node/Control/ControlFollower.h
@@ -78,7 +78,7 @@
     // Commands.
     void start();
     void stop();
-    void versionAnnounced(const ConfigurationVersion &mark); // A peer announced it by gossip.
+    void versionAnnounced(const ConfigurationVersion &version); // A peer announced it by gossip.
     void pullIfNeeded(); // Also called when a peer announces that it holds a newer version.
 
     // Queries.
@@ -86,7 +86,7 @@
     std::uint64_t heldVersion() const;
     const FollowerCounters &counters() const { return this->counts; }
     VersionSourceCounters sourceCounters() const { return this->source.counters(); }
-    const ConfigurationVersion &wanted() const { return this->plan.targetVersion(); }
+    const ConfigurationVersion &targetVersion() const { return this->plan.targetVersion(); }
     Duration sourceAge() const; // Since the last successful read of the head, or since the start.
 
 private:
--- a/Services/Node/Control/ControlIntroducers.cpp
+++ b/Services/Node/Control/ControlIntroducers.cpp
@@ -34,22 +34,22 @@
 } // namespace
 
 ControlIntroducers::ControlIntroducers(boost::asio::io_context &context, std::string zone,
-                                       std::string gossipAddress, TablePort table, IntroducerTiming pace,
+                                       std::string gossipAddress, TablePort table, IntroducerTiming timing,
                                        IntroducerHooks hooks, std::uint64_t seed)
     : timer(context)
     , zone(std::move(zone))
     , gossipAddress(std::move(gossipAddress))
     , table(std::move(table))
-    , pace(pace)
+    , timing(timing)
     , hooks(std::move(hooks))
     , random(seed)
-    , rounds(pace)
+    , schedule(timing)
 {
 }
 
 void ControlIntroducers::start()
 {
-    this->scheduleRound(this->pace.initialDelay);
+    this->scheduleRound(this->timing.initialDelay);
 }
 
 void ControlIntroducers::stop()
@@ -71,7 +71,7 @@
 void ControlIntroducers::round()
 {
     const std::uint32_t rank = this->hooks.rank();
-    const IntroducerRound now = this->rounds.next(this->hooks.knowsOthers(), rank);
+    const IntroducerRound now = this->schedule.next(this->hooks.knowsOthers(), rank);
     if (now.write == IntroducerWrite::RankedRow)
         this->writeIfDue(rank);
     if (now.read)
@@ -121,7 +121,7 @@
         ++this->counts.failures;
         this->writtenAt = Instant::min(); // The next round retries.
         if (this->rewritePending && !this->stopped)
-            this->scheduleRound(this->pace.maximumIsolatedBackoff);
+            this->scheduleRound(this->timing.maximumIsolatedBackoff);
     });
 }
 
--- a/Services/Node/Control/ControlIntroducers.h
+++ b/Services/Node/Control/ControlIntroducers.h
@@ -39,7 +39,7 @@
 {
 public:
     ControlIntroducers(boost::asio::io_context &context, std::string zone, std::string gossipAddress,
-                       TablePort table, IntroducerTiming pace, IntroducerHooks hooks, std::uint64_t seed);
+                       TablePort table, IntroducerTiming timing, IntroducerHooks hooks, std::uint64_t seed);
 
     // Commands.
     void start();
@@ -62,11 +62,11 @@
     std::string zone;
     std::string gossipAddress;
     TablePort table;
-    const IntroducerTiming pace;
+    const IntroducerTiming timing;
     IntroducerHooks hooks;
     std::mt19937_64 random;
     IntroducerCounters counts;
-    IntroducerSchedule rounds;
+    IntroducerSchedule schedule;
     Instant writtenAt = Instant::min(); // The row of this node.
     bool rewritePending = false;        // The row may be lost and has not been rewritten yet.
     bool stopped = false;
--- a/Services/Node/Control/ControlPlane.cpp
+++ b/Services/Node/Control/ControlPlane.cpp
@@ -23,8 +23,8 @@
 
 // When a zone returns, changes arrive for about a minute. Copying 6,500 members and building a view of them
 // takes 2.7 ms, which at 20 times a second is 5% of a core. A delay that grows with the number of members
-// (180 ms at 6,500) limits this to 1.5% and is still short compared with the second that news of a drain
-// takes to spread.
+// (180 ms at 6,500) limits this to 1.5% and is still short compared with the second that the announcement of
+// a drain takes to spread.
 constexpr Duration viewDelayPerMember = Microseconds(20);
 constexpr Duration statusInterval = Milliseconds(1000);
 constexpr Duration leavePollInterval = Milliseconds(100);
@@ -48,7 +48,7 @@
     self.gossipAddress = settings.gossipAddress;
     self.peerAddress = settings.peerAddress;
     self.controlAddress = settings.controlAddress;
-    self.linkMbps = settings.linkMegabits;
+    self.linkMbps = settings.linkMbps;
     return self;
 }
 
@@ -111,7 +111,7 @@
 
     void announce(const Notice &notice) { this->gossip.membership().announce(SteadyClock::now(), notice); }
 
-    void noteStoreEra(std::uint64_t era) { this->gossip.membership().noteStoreEra(era); }
+    void announceStoreEra(std::uint64_t era) { this->gossip.membership().noteStoreEra(era); }
 
     void storeRestored() { this->introducers.rewriteRow(); }
 
@@ -140,8 +140,8 @@
             this->scheduleViewUpdate();
         };
         made.noticesChanged = this->hooks.noticesChanged;
-        made.headAdvanced = [this](const ConfigurationVersion &mark) {
-            this->follower.versionAnnounced(mark);
+        made.headAdvanced = [this](const ConfigurationVersion &version) {
+            this->follower.versionAnnounced(version);
         };
         made.storeEraAdvanced = [this](std::uint64_t era) {
             if (this->hooks.storeEraReceived)
@@ -155,8 +155,8 @@
     {
         FollowerHooks made;
         made.offer = this->hooks.configurationOffered;
-        made.headRead = [this](const ConfigurationVersion &mark) {
-            this->gossip.membership().setConfiguration(this->follower.heldVersion(), mark);
+        made.headRead = [this](const ConfigurationVersion &head) {
+            this->gossip.membership().setConfiguration(this->follower.heldVersion(), head);
         };
         made.versionApplied = [this](std::uint64_t version) {
             this->gossip.membership().setConfiguration(version, this->gossip.membership().head());
@@ -225,7 +225,7 @@
     {
         std::vector<PlatformReader> others;
         this->forEachZonePeer([&](const Member &member) { others.push_back({member.id, member.linkMbps}); });
-        return platformReaderRank(this->zoneRole("head"), {this->settings.id, this->settings.linkMegabits},
+        return platformReaderRank(this->zoneRole("head"), {this->settings.id, this->settings.linkMbps},
                                   others, this->settings.follower.poll.fastPollersPerZone);
     }
 
@@ -317,7 +317,7 @@
             ++status.membersByState[static_cast<std::size_t>(record.member.state)];
         });
         status.heldVersion = this->follower.heldVersion();
-        status.headVersion = std::max(membership.head().version, this->follower.wanted().version);
+        status.headVersion = std::max(membership.head().version, this->follower.targetVersion().version);
         status.ready = this->ready;
         status.healthScore = membership.healthScore();
         status.headPollRank = this->headPollRank();
@@ -382,9 +382,9 @@
     boost::asio::post(this->impl->context, [impl = this->impl.get(), notice] { impl->announce(notice); });
 }
 
-void ControlPlane::noteStoreEra(std::uint64_t era)
+void ControlPlane::announceStoreEra(std::uint64_t era)
 {
-    this->impl->noteStoreEra(era);
+    this->impl->announceStoreEra(era);
 }
 
 void ControlPlane::storeRestored()
--- a/Services/Node/Control/ControlPlane.h
+++ b/Services/Node/Control/ControlPlane.h
@@ -31,9 +31,9 @@
     std::string region;
     std::string zone;
     std::string site;
-    std::uint32_t linkMegabits = 0; // Per second; 0 if unknown.
-    std::string gossipAddress;      // Listened on and advertised, like `controlAddress`.
-    std::string peerAddress;        // Only advertised.
+    std::uint32_t linkMbps = 0; // 0 if unknown.
+    std::string gossipAddress;  // Listened on and advertised, like `controlAddress`.
+    std::string peerAddress;    // Only advertised.
     std::string controlAddress;
     std::vector<std::string> seeds; // Gossip addresses.
     MembershipSettings membership;  // Its seeds are replaced by those above.
@@ -111,7 +111,7 @@
     void announceUpstream(const std::string &cluster, UpstreamState state, std::uint32_t slots);
     void announce(const Notice &notice); // Sent to all nodes.
     // On the control thread. Announces the highest store era that this node knows to its peers.
-    void noteStoreEra(std::uint64_t era);
+    void announceStoreEra(std::uint64_t era);
     void storeRestored(); // On the control thread. The table was restored from an older copy.
     // Announces to the mesh that this node leaves, then calls `done` on the control thread. Called
     // during a drain.
--- a/Services/Node/DerivedSettings.cpp
+++ b/Services/Node/DerivedSettings.cpp
@@ -80,7 +80,7 @@
     control.region = settings.region;
     control.zone = settings.zone;
     control.site = settings.site;
-    control.linkMegabits = static_cast<std::uint32_t>(std::ceil(settings.linkMegabits));
+    control.linkMbps = static_cast<std::uint32_t>(std::ceil(settings.linkMbps));
     control.gossipAddress = settings.listen.gossip;
     control.peerAddress = settings.advertise.peers;
     control.controlAddress = settings.listen.control;
@@ -93,7 +93,7 @@
 BodyGrantSettings bodyGrantSettings(const NodeSettings &settings)
 {
     BodyGrantSettings grants;
-    grants.bytesPerSecond = settings.linkMegabits * 1e6 / 8;
+    grants.bytesPerSecond = settings.linkMbps * 1e6 / 8;
     return grants;
 }
 
@@ -106,7 +106,7 @@
     return makeAdmissionHooks(std::make_shared<Gate>(GateSettings{1, initialQueueLimit, seed}));
 }
 
-LoadBalancerSettings placerSettings(const NodeSettings::Requests &requests)
+LoadBalancerSettings loadBalancerSettings(const NodeSettings::Requests &requests)
 {
     LoadBalancerSettings placing;
     placing.crossZoneCostPerKilobyte = requests.zoneKilobyte;
--- a/Services/Node/DerivedSettings.h
+++ b/Services/Node/DerivedSettings.h
@@ -1,5 +1,5 @@
-// Derives the settings of a node's components, such as the control plane, the placer and admission control,
-// from the node's settings.
+// Derives the settings of a node's components, such as the control plane, the load balancer and admission
+// control, from the node's settings.
 #pragma once
 
 #include "NodeSettings.h"
@@ -14,7 +14,7 @@
 
 EventLogSettings logSettings(const NodeSettings &settings);
 ControlSettings controlSettings(const NodeSettings &settings);
-LoadBalancerSettings placerSettings(const NodeSettings::Requests &requests);
+LoadBalancerSettings loadBalancerSettings(const NodeSettings::Requests &requests);
 BodyGrantSettings bodyGrantSettings(const NodeSettings &settings);
 
 // Admission control for the upstream beside the node. Its jitter is seeded with the node id.
--- a/Services/Node/Gate/ClaimService.cpp
+++ b/Services/Node/Gate/ClaimService.cpp
@@ -1,4 +1,4 @@
-// Posts claim operations to the control thread and drives the timer of the ClaimKeeper.
+// Posts claim operations to the control thread and drives the timer of the ClaimManager.
 #include "ClaimService.h"
 
 #include <boost/asio/post.hpp>
@@ -17,8 +17,8 @@
 
 ClaimService::ClaimService(boost::asio::io_context &control, TablePort table)
     : control(control)
-    , keeper(std::move(table), ClaimSettings{},
-             ClaimClocks{[] { return SteadyClock::now(); }, unixMilliseconds})
+    , claimManager(std::move(table), ClaimSettings{},
+                   ClaimClocks{[] { return SteadyClock::now(); }, unixMilliseconds})
     , timer(control)
 {
 }
@@ -29,19 +29,19 @@
     hooks.claim = [this](const std::string &key, const std::string &attempt, Instant deadline,
                          ClaimCallback done) {
         this->post([this, key, attempt, deadline, done = std::move(done)] {
-            this->keeper.claim(key, attempt, deadline, done);
+            this->claimManager.claim(key, attempt, deadline, done);
         });
     };
     hooks.finish = [this](const std::string &key, const std::string &attempt, RecordedOutcome outcome) {
         this->post([this, key, attempt, outcome = std::move(outcome)] {
-            this->keeper.finish(key, attempt, outcome);
+            this->claimManager.finish(key, attempt, outcome);
         });
     };
     hooks.release = [this](const std::string &key, const std::string &attempt) {
-        this->post([this, key, attempt] { this->keeper.release(key, attempt); });
+        this->post([this, key, attempt] { this->claimManager.release(key, attempt); });
     };
     hooks.leaveUnknown = [this](const std::string &key, const std::string &attempt) {
-        this->post([this, key, attempt] { this->keeper.leaveUnknown(key, attempt); });
+        this->post([this, key, attempt] { this->claimManager.leaveUnknown(key, attempt); });
     };
     return hooks;
 }
@@ -58,14 +58,14 @@
 
 void ClaimService::scheduleWake()
 {
-    const std::optional<Instant> next = this->keeper.nextWake();
+    const std::optional<Instant> next = this->claimManager.nextWake();
     if (!next)
         return;
     this->timer.expires_at(*next);
     this->timer.async_wait([this](const boost::system::error_code &error) {
         if (error)
             return;
-        this->keeper.advance();
+        this->claimManager.advance();
         this->scheduleWake();
     });
 }
--- a/Services/Node/Gate/ClaimService.h
+++ b/Services/Node/Gate/ClaimService.h
@@ -1,4 +1,4 @@
-// Runs the ClaimKeeper on the control thread for calls from the request threads.
+// Runs the ClaimManager on the control thread for calls from the request threads.
 #pragma once
 
 #include "ClaimHooks.h"
@@ -21,7 +21,7 @@
     // only.
     std::size_t unsettledClaims() const
     {
-        return this->pendingOperations.load() + this->keeper.pendingFinalizations();
+        return this->pendingOperations.load() + this->claimManager.pendingFinalizations();
     }
 
 private:
@@ -29,7 +29,7 @@
     void post(std::function<void()> operation);
 
     boost::asio::io_context &control;
-    ClaimManager keeper; // Only used on the control thread.
+    ClaimManager claimManager; // Only used on the control thread.
     boost::asio::steady_timer timer;
     // Operations posted to the control thread that have not run yet.
     std::atomic<std::size_t> pendingOperations = 0;
--- a/Services/Node/Node.cpp
+++ b/Services/Node/Node.cpp
@@ -93,8 +93,9 @@
     , configuration(this->settings.site, this->holderHooks())
     , viewBuilder(this->settings.id, this->settings.zone,
                   [requests = this->settings.requests] {
-                      return std::make_shared<ServiceState>(placerSettings(requests), requests.retryShare,
-                                                            requests.retryReserve, makeRandom());
+                      return std::make_shared<ServiceState>(loadBalancerSettings(requests),
+                                                            requests.retryShare, requests.retryReserve,
+                                                            makeRandom());
                   })
     , adapter(makeAdapter(this->control, this->settings))
     , claims(this->control, this->adapter.table)
@@ -176,7 +177,7 @@
     this->adapter.era->setSuspectListener(
         [this](const Error &error) { this->nodeLog.storeEraDoubted(error); });
     this->adapter.era->addChangeListener([this](const EraChange &rise) {
-        this->plane.noteStoreEra(rise.current);
+        this->plane.announceStoreEra(rise.current);
         if (!rise.previous)
             return; // The first era that is seen; nothing was written before.
         this->nodeLog.storeRestored(rise);
--- a/Services/Node/NodeDrain.cpp
+++ b/Services/Node/NodeDrain.cpp
@@ -43,7 +43,7 @@
         return;
     if (!this->withdrawnAt && now - this->begunAt >= this->settings.maximum) {
         this->withdrawnAt = now;
-        this->hooks.withdrawWaiting();
+        this->hooks.withdrawPendingCalls();
     }
     const bool done = this->isDone();
     if (!done && (!this->withdrawnAt || now - *this->withdrawnAt < finalResponseTime))
--- a/Services/Node/NodeDrain.h
+++ b/Services/Node/NodeDrain.h
@@ -1,11 +1,12 @@
 // The drain state machine of a node: ask callers to use another node, announce to the other nodes that this
-// one leaves, wait until the news has spread, stop accepting callers, and let running calls finish. Uses no
-// sockets and no clock.
+// one leaves, wait until the announcement has spread, stop accepting callers, and let running calls finish.
+// Uses no sockets and no clock.
 //
-// The other nodes are told late in the linger time. When hosts are restarted one after the other, one every
-// 2.5 s, and three upstreams serve a service, telling them at once would leave each upstream idle while its
-// callers move to another node, so that two of the three are out at a time. Callers need the whole linger
-// time, since they check readiness once a second; the news reaches the last of 200 nodes in 0.7 s.
+// The other nodes are notified late in the linger time. When hosts are restarted one after the other, one
+// every 2.5 s, and three upstreams serve a service, notifying them at once would leave each upstream idle
+// while its callers move to another node, so that two of the three are out at a time. Callers need the whole
+// linger time, since they check readiness once a second; the announcement reaches the last of 200 nodes in
+// 0.7 s.
 #pragma once
 
 #include <LibCore/EnumNames.h>
@@ -20,7 +21,7 @@
 enum class DrainStage : std::uint8_t {
     Serving,
     Deflecting, // Callers are asked to use another node; calls from other nodes are still served.
-    Announcing, // Other nodes are being told; calls that still arrive from them are refused as not run.
+    Announcing, // Other nodes are being notified; calls that still arrive from them are refused as not run.
     Finishing,  // No new callers are accepted; calls in progress finish.
     Left,
 };
@@ -54,9 +55,9 @@
     std::function<void()> announceLeave;
     std::function<bool()> leaveAnnounced;
     std::function<void()> stopCallers;
-    std::function<bool()> idle;            // No call is waiting, running or unanswered.
-    std::function<void()> withdrawWaiting; // Refuses calls that have not started yet.
-    std::function<void()> leave;           // Answers calls that still run with an unknown outcome.
+    std::function<bool()> idle;                 // No call is waiting, running or unanswered.
+    std::function<void()> withdrawPendingCalls; // Refuses calls that have not started yet.
+    std::function<void()> leave;                // Answers calls that still run with an unknown outcome.
     // From now on, refuses requests that are still being read on any thread. Optional, like the next hook.
     std::function<void()> refuseCallers = {};
     std::function<bool()> callersRefused = {}; // Whether all threads refuse them.
--- a/Services/Node/NodeSettings.cpp
+++ b/Services/Node/NodeSettings.cpp
@@ -231,7 +231,7 @@
             table.read("zone", settings.zone, true);
             table.read("site", settings.site, true);
             table.readInteger("threads", settings.threads, 1, 64);
-            table.readAmount("link_mbps", settings.linkMegabits, 1'000'000);
+            table.readAmount("link_mbps", settings.linkMbps, 1'000'000);
         });
     }
 
--- a/Services/Node/NodeSettings.h
+++ b/Services/Node/NodeSettings.h
@@ -38,7 +38,7 @@
     std::string region;
     std::string zone;
     std::string site;
-    double linkMegabits = 0;   // Per second, of the host's network link; 0 if unknown.
+    double linkMbps = 0;       // Of the host's network link; 0 if unknown.
     std::uint32_t threads = 2; // Worker threads for requests; the control plane has a thread of its own.
 
     struct Listen
--- a/Services/Node/NodeShutdown.cpp
+++ b/Services/Node/NodeShutdown.cpp
@@ -64,7 +64,7 @@
             worker->stopAccepting();
     };
     hooks.idle = [this] { return this->isIdle(); };
-    hooks.withdrawWaiting = [this] {
+    hooks.withdrawPendingCalls = [this] {
         this->gate.refuseQueuedCalls();
         for (const auto &worker : this->workers)
             worker->withdrawPendingCalls();
--- a/Services/Node/Peers/PeerLink.cpp
+++ b/Services/Node/Peers/PeerLink.cpp
@@ -346,7 +346,7 @@
     if (!this->connection)
         return;
     const Instant now = SteadyClock::now();
-    // This process was stalled and replies may be waiting unread, so the silence timeout starts anew.
+    // This process was stalled and replies may be waiting unread, so the silence timeout restarts.
     if (this->awaitingReplySince && now - this->heartbeatDue > this->settings.silenceTimeout / 2)
         this->awaitingReplySince = now;
     if (this->isSilent(now) && !this->silenceTimeoutDisabled)
--- a/Tests/Control/TestControlPlane.cpp
+++ b/Tests/Control/TestControlPlane.cpp
@@ -251,9 +251,9 @@
     };
     cr_assert(fixture.runUntil([&] { return introducers() == 3; }));
     for (TestNode &node : fixture.nodes)
-        node.plane->noteStoreEra(6);
+        node.plane->announceStoreEra(6);
     fixture.platform.rows.clear();
-    fixture.nodes[0].plane->noteStoreEra(7);
+    fixture.nodes[0].plane->announceStoreEra(7);
     cr_assert(fixture.runUntil([&] { return introducers() == 3; }));
     cr_assert(fixture.nodes[1].receivedEra == 7 && fixture.nodes[2].receivedEra == 7);
 }
--- a/Tests/Node/TestForwardedCall.cpp
+++ b/Tests/Node/TestForwardedCall.cpp
@@ -270,7 +270,7 @@
     const std::size_t firstPeer = fixture.firstPeer();
     cr_assert(fixture.runUntil([&] { return fixture.peers[firstPeer].cancels == 1; }));
     cr_assert(!fixture.answer);
-    cr_assert(fixture.service->placer.outstanding("host-" + std::to_string(firstPeer)) == 0);
+    cr_assert(fixture.service->loadBalancer.outstanding("host-" + std::to_string(firstPeer)) == 0);
 }
 
 // One upstream is slow. After the time in which nearly all calls complete, a hedged attempt goes to the other
--- a/Tests/Node/TestNodeDrain.cpp
+++ b/Tests/Node/TestNodeDrain.cpp
@@ -45,8 +45,8 @@
 } // namespace
 
 // A host is removed while a call runs on it. The node must ask its callers to use another node, announce to
-// the other nodes that it leaves, and wait until the news has spread. Only then may it refuse new callers,
-// and it must not end before the call has.
+// the other nodes that it leaves, and wait until the announcement has spread. Only then may it refuse new
+// callers, and it must not end before the call has.
 Test(nodeDrain, leavesOnlyWhenIdle)
 {
     DrainFixture fixture;
@@ -87,7 +87,7 @@
     bool refused = false;
     std::vector<std::string> steps;
     NodeDrainHooks hooks;
-    hooks.deflectCallers = hooks.announceLeave = hooks.stopCallers = hooks.withdrawWaiting = [] {};
+    hooks.deflectCallers = hooks.announceLeave = hooks.stopCallers = hooks.withdrawPendingCalls = [] {};
     hooks.leaveAnnounced = [] { return true; };
     hooks.idle = [&] { return idle; };
     hooks.leave = [&] { steps.emplace_back("leave"); };
--- a/Utilities/ConfigBench/Platform.cpp
+++ b/Utilities/ConfigBench/Platform.cpp
@@ -98,8 +98,8 @@
     explicit ClaimRun(const BenchSettings &settings)
         : benchSettings(settings)
         , client(this->context, clientSettings(settings))
-        , keeper(this->client.tablePort(), claimSettings(settings),
-                 {[] { return SteadyClock::now(); }, [] { return std::uint64_t{0}; }})
+        , claimManager(this->client.tablePort(), claimSettings(settings),
+                       {[] { return SteadyClock::now(); }, [] { return std::uint64_t{0}; }})
         , tick(this->context)
     {
     }
@@ -109,7 +109,7 @@
         this->began = SteadyClock::now();
         this->total = std::size_t{this->benchSettings.rate} * this->benchSettings.seconds;
         this->step();
-        while (this->answered < this->total || this->keeper.pendingFinalizations() > 0)
+        while (this->answered < this->total || this->claimManager.pendingFinalizations() > 0)
             this->context.run_one();
         this->print();
     }
@@ -137,7 +137,7 @@
     {
         while (this->sent < this->total && this->dueAt(this->sent) <= SteadyClock::now())
             this->claimOne(this->sent++);
-        this->keeper.advance();
+        this->claimManager.advance();
         Instant next = SteadyClock::now() + Milliseconds(1);
         if (this->sent < this->total)
             next = std::min(next, this->dueAt(this->sent));
@@ -148,7 +148,7 @@
     void claimOne(std::size_t call)
     {
         const std::string key = this->prefix + std::to_string(call);
-        this->keeper.claim(
+        this->claimManager.claim(
             key, key, SteadyClock::now() + std::chrono::seconds(2),
             [this, key, due = this->dueAt(call)](const ClaimResponse &answer) {
                 ++this->answered;
@@ -156,13 +156,13 @@
                     return;
                 this->latencies.push_back(
                     std::chrono::duration<double, std::milli>(SteadyClock::now() - due).count());
-                this->keeper.finish(key, key, {200, "text/plain", "ok", true});
+                this->claimManager.finish(key, key, {200, "text/plain", "ok", true});
             });
     }
 
     void print()
     {
-        const ClaimCounters counters = this->keeper.counters();
+        const ClaimCounters counters = this->claimManager.counters();
         const auto claims = static_cast<double>(counters.claims);
         std::cout << "rate " << this->benchSettings.rate << "/s, group " << this->benchSettings.group
                   << " above " << this->benchSettings.alone << " requests, window "
@@ -177,7 +177,7 @@
     const BenchSettings benchSettings;
     boost::asio::io_context context{1};
     PlatformClient client;
-    ClaimManager keeper;
+    ClaimManager claimManager;
     boost::asio::steady_timer tick;
     const std::string prefix = uniqueText() + "-";
     Instant began;
--- a/Utilities/NodeBench/Main.cpp
+++ b/Utilities/NodeBench/Main.cpp
@@ -111,13 +111,13 @@
     UpstreamViewBuilder builder("host-100000", "zone-0", makeState);
     const auto view = builder.build(makeMembers(size));
     const ServiceView *service = view->find("service-0");
-    LoadBalancer &placer = service->state->placer;
+    LoadBalancer &loadBalancer = service->state->loadBalancer;
     const Instant now = SteadyClock::now();
     const auto call = [&] {
-        const auto index = placer.pick(now, service->facts, CallClass::Interactive, {});
-        placer.recordStart(service->facts[*index].id, now);
-        placer.recordEnd(service->facts[*index].id, now, CallClass::Interactive, Milliseconds(1),
-                         AttemptOutcome::Succeeded);
+        const auto index = loadBalancer.pick(now, service->upstreams, CallClass::Interactive, {});
+        loadBalancer.recordStart(service->upstreams[*index].id, now);
+        loadBalancer.recordEnd(service->upstreams[*index].id, now, CallClass::Interactive, Milliseconds(1),
+                               AttemptOutcome::Succeeded);
     };
     report("placing one call among " + std::to_string(candidates), medianNanoseconds(9, 20000, call), "ns");
 }
