--- a/Libraries/LibHistory/CallCheckers.cpp
+++ b/Libraries/LibHistory/CallCheckers.cpp
@@ -34,13 +34,13 @@
     {
     }
 
-    void judgeCall(Verdict &verdict, const CallIndex::Records &sentRecords) const
+    void judgeCall(CheckResult &verdict, const CallIndex::Records &sentRecords) const
     {
         const HistoryRecord &sentRecord = *sentRecords.front();
         const auto &sent = std::get<CallerSent>(sentRecord.event);
         if (sentRecords.size() > 1)
             verdict.violations.push_back({"call id " + sent.call + " was used twice", sentRecords});
-        const CallIndex::Records &closed = CallIndex::find(this->index.closedByCall, sent.call);
+        const CallIndex::Records &closed = CallIndex::find(this->index.completedByCall, sent.call);
         if (closed.empty()) {
             verdict.violations.push_back({"call " + sent.call + " never got an answer", {&sentRecord}});
             return;
@@ -58,7 +58,7 @@
     }
 
     // The upstream must have received the request that the caller sent.
-    void judgeArrival(Verdict &verdict, const HistoryRecord &record, const UpstreamBegan &began) const
+    void judgeArrival(CheckResult &verdict, const HistoryRecord &record, const UpstreamBegan &began) const
     {
         const CallIndex::Records &sentRecords = CallIndex::find(this->index.sentByCall, began.call);
         if (sentRecords.empty()) {
@@ -76,7 +76,7 @@
     const CallIndex &records() const { return this->index; }
 
 private:
-    void judgeAnswer(Verdict &verdict, const HistoryRecord &sentRecord, const HistoryRecord &answerRecord,
+    void judgeAnswer(CheckResult &verdict, const HistoryRecord &sentRecord, const HistoryRecord &answerRecord,
                      const CallerAnswered &answered) const
     {
         if (answered.outcome != "done") {
@@ -144,10 +144,10 @@
     std::vector<FaultWindow> faults;
 };
 
-void judgeNotRun(Verdict &verdict, const HistoryRecord &promise, const std::string &what,
+void judgeNotRun(CheckResult &verdict, const HistoryRecord &promise, const std::string &what,
                  const CallIndex::Records &began)
 {
-    ++verdict.eventsJudged;
+    ++verdict.eventsChecked;
     if (began.empty())
         return;
     std::vector evidence{&promise};
@@ -165,12 +165,12 @@
 
 } // namespace
 
-Verdict checkOwnWholeAnswer(const History &history, const CheckLimits &)
+CheckResult checkOwnWholeAnswer(const History &history, const CheckLimits &)
 {
-    Verdict verdict{PromisePoint::OwnWholeAnswer, 0, {}, {}};
+    CheckResult verdict{Invariant::OwnWholeAnswer, 0, {}, {}};
     const AnswerJudge judge(history);
     for (const auto &[call, sentRecords] : judge.records().sentByCall) {
-        ++verdict.eventsJudged;
+        ++verdict.eventsChecked;
         judge.judgeCall(verdict, sentRecords);
     }
     for (const HistoryRecord &record : history.records) {
@@ -180,9 +180,9 @@
     return verdict;
 }
 
-Verdict checkNotRunNeverRan(const History &history, const CheckLimits &)
+CheckResult checkNotRunNeverRan(const History &history, const CheckLimits &)
 {
-    Verdict verdict{PromisePoint::NotRunNeverRan, 0, {}, {}};
+    CheckResult verdict{Invariant::NotRunNeverRan, 0, {}, {}};
     const CallIndex index(history);
     for (const HistoryRecord &record : history.records) {
         if (const auto *answered = std::get_if<CallerAnswered>(&record.event)) {
@@ -201,9 +201,9 @@
     return verdict;
 }
 
-Verdict checkAtMostOnce(const History &history, const CheckLimits &)
+CheckResult checkAtMostOnce(const History &history, const CheckLimits &)
 {
-    Verdict verdict{PromisePoint::AtMostOnce, 0, {}, {}};
+    CheckResult verdict{Invariant::AtMostOnce, 0, {}, {}};
     const CallIndex index(history);
     for (const auto &[attempt, began] : index.beganByAttempt) {
         if (began.size() > 1)
@@ -215,7 +215,7 @@
         });
         if (!judged)
             continue;
-        ++verdict.eventsJudged;
+        ++verdict.eventsChecked;
         if (began.size() > 1)
             verdict.violations.push_back({"key " + std::string(key) + " ran more than once", began});
     }
@@ -223,7 +223,7 @@
         const bool keyless = std::get<UpstreamBegan>(began.front()->event).key.empty();
         if (!keyless || !isNonIdempotent(index, call))
             continue;
-        ++verdict.eventsJudged;
+        ++verdict.eventsChecked;
         if (began.size() > 1)
             verdict.violations.push_back({"call " + std::string(call) + " ran more than once", began});
     }
--- a/Libraries/LibHistory/CallIndex.cpp
+++ b/Libraries/LibHistory/CallIndex.cpp
@@ -21,9 +21,9 @@
         if (const auto *sent = std::get_if<CallerSent>(&record.event)) {
             this->sentByCall[sent->call].push_back(&record);
         } else if (const auto *answered = std::get_if<CallerAnswered>(&record.event)) {
-            this->closedByCall[answered->call].push_back(&record);
+            this->completedByCall[answered->call].push_back(&record);
         } else if (const auto *lost = std::get_if<CallerLost>(&record.event)) {
-            this->closedByCall[lost->call].push_back(&record);
+            this->completedByCall[lost->call].push_back(&record);
         } else if (const auto *began = std::get_if<UpstreamBegan>(&record.event)) {
             this->beganByCall[began->call].push_back(&record);
             this->beganByAttempt[{began->call, began->attempt}].push_back(&record);
--- a/Libraries/LibHistory/CallIndex.h
+++ b/Libraries/LibHistory/CallIndex.h
@@ -26,7 +26,7 @@
     static const Records &find(const std::map<AttemptKey, Records> &index, const AttemptKey &key);
 
     std::map<std::string_view, Records> sentByCall;
-    std::map<std::string_view, Records> closedByCall; // Answered or lost.
+    std::map<std::string_view, Records> completedByCall; // Answered or lost.
     std::map<std::string_view, Records> beganByCall;
     std::map<std::string_view, Records> beganByKey; // Only attempts that carried a key.
     std::map<AttemptKey, Records> beganByAttempt;
--- a/Libraries/LibHistory/Checkers.cpp
+++ b/Libraries/LibHistory/Checkers.cpp
@@ -9,20 +9,20 @@
 
 struct CheckerRow
 {
-    PromisePoint point;
-    Verdict (*check)(const History &, const CheckLimits &);
+    Invariant invariant;
+    CheckResult (*check)(const History &, const CheckLimits &);
 };
 
 constexpr CheckerRow checkerRows[] = {
-    {PromisePoint::VersionNeverBack, checkVersionNeverBack},
-    {PromisePoint::NoDanglingRoute, checkNoDanglingRoute},
-    {PromisePoint::WholeVersions, checkWholeVersions},
-    {PromisePoint::OwnWholeAnswer, checkOwnWholeAnswer},
-    {PromisePoint::NotRunNeverRan, checkNotRunNeverRan},
-    {PromisePoint::AtMostOnce, checkAtMostOnce},
-    {PromisePoint::LeavingGetsNoWork, checkLeavingGetsNoWork},
-    {PromisePoint::ShutdownCutsNothing, checkShutdownCutsNothing},
-    {PromisePoint::AcceptedInForce, checkAcceptedInForce},
+    {Invariant::VersionNeverBack, checkVersionNeverBack},
+    {Invariant::NoDanglingRoute, checkNoDanglingRoute},
+    {Invariant::WholeVersions, checkWholeVersions},
+    {Invariant::OwnWholeAnswer, checkOwnWholeAnswer},
+    {Invariant::NotRunNeverRan, checkNotRunNeverRan},
+    {Invariant::AtMostOnce, checkAtMostOnce},
+    {Invariant::LeavingGetsNoWork, checkLeavingGetsNoWork},
+    {Invariant::ShutdownCutsNothing, checkShutdownCutsNothing},
+    {Invariant::AcceptedInForce, checkAcceptedInForce},
 };
 
 void countAnswer(CallTotals &totals, const CallerAnswered &answered)
@@ -42,13 +42,13 @@
 
 } // namespace
 
-Verdict checkPromise(PromisePoint point, const History &history, const CheckLimits &limits)
+CheckResult checkInvariant(Invariant invariant, const History &history, const CheckLimits &limits)
 {
     for (const CheckerRow &row : checkerRows) {
-        if (row.point == point)
+        if (row.invariant == invariant)
             return row.check(history, limits);
     }
-    return Verdict{point, 0, {}, {}};
+    return CheckResult{invariant, 0, {}, {}};
 }
 
 CallTotals countCalls(const History &history)
--- a/Libraries/LibHistory/Checkers.h
+++ b/Libraries/LibHistory/Checkers.h
@@ -14,7 +14,7 @@
 
 namespace Sagecrank {
 
-enum class PromisePoint : std::uint8_t {
+enum class Invariant : std::uint8_t {
     VersionNeverBack,    // No node moves back to an older version than one it has held.
     NoDanglingRoute,     // No route points at a cluster or upstream that the node does not have.
     WholeVersions,       // A node holds all of a version or none of it; a bad one is never applied.
@@ -26,16 +26,16 @@
     AcceptedInForce,     // An accepted version is in force on every node in time and never reverts.
 };
 
-inline constexpr EnumNames<PromisePoint, 9> promisePointNames{{
-    {PromisePoint::VersionNeverBack, "version-never-back"},
-    {PromisePoint::NoDanglingRoute, "no-dangling-route"},
-    {PromisePoint::WholeVersions, "whole-versions"},
-    {PromisePoint::OwnWholeAnswer, "own-whole-answer"},
-    {PromisePoint::NotRunNeverRan, "not-run-never-ran"},
-    {PromisePoint::AtMostOnce, "at-most-once"},
-    {PromisePoint::LeavingGetsNoWork, "leaving-gets-no-work"},
-    {PromisePoint::ShutdownCutsNothing, "shutdown-cuts-nothing"},
-    {PromisePoint::AcceptedInForce, "accepted-in-force"},
+inline constexpr EnumNames<Invariant, 9> invariantNames{{
+    {Invariant::VersionNeverBack, "version-never-back"},
+    {Invariant::NoDanglingRoute, "no-dangling-route"},
+    {Invariant::WholeVersions, "whole-versions"},
+    {Invariant::OwnWholeAnswer, "own-whole-answer"},
+    {Invariant::NotRunNeverRan, "not-run-never-ran"},
+    {Invariant::AtMostOnce, "at-most-once"},
+    {Invariant::LeavingGetsNoWork, "leaving-gets-no-work"},
+    {Invariant::ShutdownCutsNothing, "shutdown-cuts-nothing"},
+    {Invariant::AcceptedInForce, "accepted-in-force"},
 }};
 
 struct CheckLimits
@@ -55,29 +55,29 @@
     std::vector<const HistoryRecord *> evidence; // Into the checked history, in order of time.
 };
 
-struct Verdict
+struct CheckResult
 {
-    PromisePoint point = PromisePoint::VersionNeverBack;
-    std::size_t eventsJudged = 0;
+    Invariant invariant = Invariant::VersionNeverBack;
+    std::size_t eventsChecked = 0;
     std::vector<Violation> violations;
     std::string note; // Figures to show beside the verdict; may be empty.
 
-    bool vacuous() const { return this->eventsJudged == 0; }
+    bool vacuous() const { return this->eventsChecked == 0; }
     bool holds() const { return !this->vacuous() && this->violations.empty(); }
 };
 
-Verdict checkVersionNeverBack(const History &history, const CheckLimits &limits);
-Verdict checkNoDanglingRoute(const History &history, const CheckLimits &limits);
-Verdict checkWholeVersions(const History &history, const CheckLimits &limits);
-Verdict checkOwnWholeAnswer(const History &history, const CheckLimits &limits);
-Verdict checkNotRunNeverRan(const History &history, const CheckLimits &limits);
-Verdict checkAtMostOnce(const History &history, const CheckLimits &limits);
-Verdict checkLeavingGetsNoWork(const History &history, const CheckLimits &limits);
-Verdict checkShutdownCutsNothing(const History &history, const CheckLimits &limits);
-Verdict checkAcceptedInForce(const History &history, const CheckLimits &limits);
+CheckResult checkVersionNeverBack(const History &history, const CheckLimits &limits);
+CheckResult checkNoDanglingRoute(const History &history, const CheckLimits &limits);
+CheckResult checkWholeVersions(const History &history, const CheckLimits &limits);
+CheckResult checkOwnWholeAnswer(const History &history, const CheckLimits &limits);
+CheckResult checkNotRunNeverRan(const History &history, const CheckLimits &limits);
+CheckResult checkAtMostOnce(const History &history, const CheckLimits &limits);
+CheckResult checkLeavingGetsNoWork(const History &history, const CheckLimits &limits);
+CheckResult checkShutdownCutsNothing(const History &history, const CheckLimits &limits);
+CheckResult checkAcceptedInForce(const History &history, const CheckLimits &limits);
 
-// Runs the checker of one point.
-Verdict checkPromise(PromisePoint point, const History &history, const CheckLimits &limits);
+// Runs the checker of one invariant.
+CheckResult checkInvariant(Invariant invariant, const History &history, const CheckLimits &limits);
 
 // What the callers saw; goes beside the verdicts, since a run in which nothing was done proves little.
 struct CallTotals
--- a/Libraries/LibHistory/ConvergenceChecker.cpp
+++ b/Libraries/LibHistory/ConvergenceChecker.cpp
@@ -103,7 +103,7 @@
     std::size_t undisturbed = 0;
 };
 
-void judgeNode(Verdict &verdict, const Run &run, const NodeRun &node, const HistoryRecord &acceptance,
+void judgeNode(CheckResult &verdict, const Run &run, const NodeRun &node, const HistoryRecord &acceptance,
                std::uint64_t allowed, ConvergenceFigures &figures)
 {
     const std::uint64_t version = std::get<PublishAccepted>(acceptance.event).version;
@@ -112,7 +112,7 @@
     const std::uint64_t due = since + allowed;
     if (due > node.exited)
         return; // It ended, or the history did, before its time was up.
-    ++verdict.eventsJudged;
+    ++verdict.eventsChecked;
     const HistoryRecord *first = nullptr;
     for (const HistoryRecord *swap : node.swaps) {
         const bool holds = std::get<NodeSwapped>(swap->event).version >= version;
@@ -139,7 +139,7 @@
 }
 
 // One version number is accepted once; a second acceptance would overwrite the first.
-void judgeDoubleAcceptance(Verdict &verdict, const Run &run)
+void judgeDoubleAcceptance(CheckResult &verdict, const Run &run)
 {
     std::map<std::uint64_t, const HistoryRecord *> firstByVersion;
     for (const HistoryRecord *acceptance : run.accepted) {
@@ -154,7 +154,7 @@
 }
 
 // An operator who was told "refused" must not find the same publish accepted.
-void judgeFalseRefusal(Verdict &verdict, const History &history, const Run &run)
+void judgeFalseRefusal(CheckResult &verdict, const History &history, const Run &run)
 {
     for (const HistoryRecord &record : history.records) {
         const auto *refused = std::get_if<PublishRefused>(&record.event);
@@ -185,9 +185,9 @@
 
 } // namespace
 
-Verdict checkAcceptedInForce(const History &history, const CheckLimits &limits)
+CheckResult checkAcceptedInForce(const History &history, const CheckLimits &limits)
 {
-    Verdict verdict{PromisePoint::AcceptedInForce, 0, {}, {}};
+    CheckResult verdict{Invariant::AcceptedInForce, 0, {}, {}};
     const Run run = collectRun(history);
     ConvergenceFigures figures;
     for (const HistoryRecord *acceptance : run.accepted) {
--- a/Libraries/LibHistory/DrainCheckers.cpp
+++ b/Libraries/LibHistory/DrainCheckers.cpp
@@ -46,7 +46,7 @@
     return drains;
 }
 
-void judgeLateWork(Verdict &verdict, const History &history, const Drain &drain, std::uint64_t allowed)
+void judgeLateWork(CheckResult &verdict, const History &history, const Drain &drain, std::uint64_t allowed)
 {
     const std::uint64_t due = drain.record->time + allowed;
     bool loadWentOn = false;
@@ -69,7 +69,7 @@
     }
     // Without load nothing could have been sent to it, so such a drain proves nothing.
     if (loadWentOn)
-        ++verdict.eventsJudged;
+        ++verdict.eventsChecked;
 }
 
 class ShutdownJudge
@@ -102,13 +102,13 @@
         return open;
     }
 
-    void judgeAttempt(Verdict &verdict, const Drain &drain, const HistoryRecord &record) const
+    void judgeAttempt(CheckResult &verdict, const Drain &drain, const HistoryRecord &record) const
     {
-        ++verdict.eventsJudged;
+        ++verdict.eventsChecked;
         const auto &began = std::get<UpstreamBegan>(record.event);
         const HistoryRecord *ended = this->endOf(began);
         const HistoryRecord *sent = first(CallIndex::find(this->index.sentByCall, began.call));
-        const HistoryRecord *closed = first(CallIndex::find(this->index.closedByCall, began.call));
+        const HistoryRecord *closed = first(CallIndex::find(this->index.completedByCall, began.call));
         const auto *answered = closed ? std::get_if<CallerAnswered>(&closed->event) : nullptr;
         const bool answeredDone = answered != nullptr && answered->outcome == "done";
         if (answeredDone && ended != nullptr)
@@ -127,7 +127,7 @@
              std::move(evidence)});
     }
 
-    void judgeExit(Verdict &verdict, const Drain &drain) const
+    void judgeExit(CheckResult &verdict, const Drain &drain) const
     {
         if (drain.exited == nullptr || std::get<ProcessExited>(drain.exited->event).status == 0)
             return;
@@ -182,17 +182,17 @@
 
 } // namespace
 
-Verdict checkLeavingGetsNoWork(const History &history, const CheckLimits &limits)
+CheckResult checkLeavingGetsNoWork(const History &history, const CheckLimits &limits)
 {
-    Verdict verdict{PromisePoint::LeavingGetsNoWork, 0, {}, {}};
+    CheckResult verdict{Invariant::LeavingGetsNoWork, 0, {}, {}};
     for (const Drain &drain : collectDrains(history))
         judgeLateWork(verdict, history, drain, std::uint64_t(limits.drain.count()));
     return verdict;
 }
 
-Verdict checkShutdownCutsNothing(const History &history, const CheckLimits &)
+CheckResult checkShutdownCutsNothing(const History &history, const CheckLimits &)
 {
-    Verdict verdict{PromisePoint::ShutdownCutsNothing, 0, {}, {}};
+    CheckResult verdict{Invariant::ShutdownCutsNothing, 0, {}, {}};
     const ShutdownJudge judge(history);
     const std::vector<Drain> drains = collectDrains(history);
     for (const Drain &drain : drains) {
--- a/Libraries/LibHistory/History.cpp
+++ b/Libraries/LibHistory/History.cpp
@@ -203,7 +203,7 @@
         ++lineNumber;
         const std::size_t end = text.find('\n');
         if (end == std::string_view::npos) {
-            ++history.tornLines;
+            ++history.truncatedLines;
             break;
         }
         HistoryRecord record = TRY(parseLine(streamName, lineNumber, text.substr(0, end)));
--- a/Libraries/LibHistory/History.h
+++ b/Libraries/LibHistory/History.h
@@ -25,7 +25,7 @@
 {
     std::vector<HistoryRecord> records; // Ordered by time; those of one lifetime also by sequence.
     std::size_t lifetimes = 0;
-    std::size_t tornLines = 0; // Last lines that a killed process left unfinished.
+    std::size_t truncatedLines = 0; // Last lines that a killed process left unfinished.
 
     std::uint64_t endTime() const { return this->records.empty() ? 0 : this->records.back().time; }
 };
--- a/Libraries/LibHistory/VersionCheckers.cpp
+++ b/Libraries/LibHistory/VersionCheckers.cpp
@@ -53,7 +53,7 @@
     known.record = &record;
 }
 
-void judgeSwapTargets(Verdict &verdict, const HistoryRecord &record, const NodeSwapped &swap)
+void judgeSwapTargets(CheckResult &verdict, const HistoryRecord &record, const NodeSwapped &swap)
 {
     const std::set<std::string_view> clusters(swap.clusters.begin(), swap.clusters.end());
     for (const std::string &target : swap.routeClusters) {
@@ -67,7 +67,7 @@
 
 // A call is routed once, by the version in force when it arrives; an attempt that follows goes on by that
 // version and no other, however long the first one took.
-void judgeRoutingVersion(Verdict &verdict, NodePicture &picture, const HistoryRecord &record,
+void judgeRoutingVersion(CheckResult &verdict, NodePicture &picture, const HistoryRecord &record,
                          const NodePlaced &placed, std::uint64_t staleRead)
 {
     const auto [first, isFirst] = picture.firstPlacements.try_emplace(placed.call, &record);
@@ -85,7 +85,7 @@
     }
 }
 
-void judgePlacement(Verdict &verdict, NodePicture &picture, const HistoryRecord &record,
+void judgePlacement(CheckResult &verdict, NodePicture &picture, const HistoryRecord &record,
                     const NodePlaced &placed, std::uint64_t staleRead)
 {
     const auto found = picture.swaps.find(placed.version);
@@ -132,7 +132,7 @@
 }
 
 // Two nodes of one site that hold the same version must hold the same content.
-void compareContent(Verdict &verdict, const HistoryRecord &first, const HistoryRecord &other)
+void compareContent(CheckResult &verdict, const HistoryRecord &first, const HistoryRecord &other)
 {
     const auto &expected = std::get<NodeSwapped>(first.event);
     const auto &found = std::get<NodeSwapped>(other.event);
@@ -146,16 +146,16 @@
 
 } // namespace
 
-Verdict checkVersionNeverBack(const History &history, const CheckLimits &)
+CheckResult checkVersionNeverBack(const History &history, const CheckLimits &)
 {
-    Verdict verdict{PromisePoint::VersionNeverBack, 0, {}, {}};
+    CheckResult verdict{Invariant::VersionNeverBack, 0, {}, {}};
     std::map<std::string_view, const HistoryRecord *> highestByNode; // Across restarts.
     std::map<std::size_t, const HistoryRecord *> latestByLifetime;
     for (const HistoryRecord &record : history.records) {
         const auto *swap = std::get_if<NodeSwapped>(&record.event);
         if (swap == nullptr)
             continue;
-        ++verdict.eventsJudged;
+        ++verdict.eventsChecked;
         const HistoryRecord *&latest = latestByLifetime[record.lifetime];
         const std::uint64_t held = latest ? std::get<NodeSwapped>(latest->event).version : 0;
         if (swap->previous != held) {
@@ -186,14 +186,14 @@
     return verdict;
 }
 
-Verdict checkNoDanglingRoute(const History &history, const CheckLimits &limits)
+CheckResult checkNoDanglingRoute(const History &history, const CheckLimits &limits)
 {
-    Verdict verdict{PromisePoint::NoDanglingRoute, 0, {}, {}};
+    CheckResult verdict{Invariant::NoDanglingRoute, 0, {}, {}};
     std::map<std::size_t, NodePicture> pictures; // By lifetime.
     std::size_t placements = 0;
     for (const HistoryRecord &record : history.records) {
         if (const auto *swap = std::get_if<NodeSwapped>(&record.event)) {
-            ++verdict.eventsJudged;
+            ++verdict.eventsChecked;
             judgeSwapTargets(verdict, record, *swap);
             NodePicture &picture = pictures[record.lifetime];
             picture.swaps[swap->version] = &record;
@@ -201,7 +201,7 @@
         } else if (const auto *member = std::get_if<NodeMember>(&record.event)) {
             learnMember(pictures[record.lifetime], record, *member);
         } else if (const auto *placed = std::get_if<NodePlaced>(&record.event)) {
-            ++verdict.eventsJudged;
+            ++verdict.eventsChecked;
             ++placements;
             judgePlacement(verdict, pictures[record.lifetime], record, *placed,
                            std::uint64_t(limits.staleRead.count()));
@@ -211,10 +211,10 @@
     return verdict;
 }
 
-Verdict checkWholeVersions(const History &history, const CheckLimits &)
+CheckResult checkWholeVersions(const History &history, const CheckLimits &)
 {
     const std::set<std::uint64_t> accepted = acceptedVersions(history);
-    Verdict verdict{PromisePoint::WholeVersions, 0, {}, {}};
+    CheckResult verdict{Invariant::WholeVersions, 0, {}, {}};
     std::map<std::size_t, std::map<Offer, const HistoryRecord *>> offersByLifetime;
     std::map<std::pair<std::string_view, std::uint64_t>, const HistoryRecord *> contentBySiteVersion;
     std::size_t refused = 0;
@@ -227,7 +227,7 @@
         const auto *swap = std::get_if<NodeSwapped>(&record.event);
         if (swap == nullptr)
             continue;
-        ++verdict.eventsJudged;
+        ++verdict.eventsChecked;
         const auto &offers = offersByLifetime[record.lifetime];
         const auto offer = offers.find({swap->version, swap->digest});
         if (offer == offers.end()) {
--- a/Tests/LibHistory/TestCheckers.cpp
+++ b/Tests/LibHistory/TestCheckers.cpp
@@ -20,7 +20,7 @@
 struct Damage
 {
     const char *name;
-    PromisePoint point;
+    Invariant invariant;
     void (*apply)(History &, Random &);
 };
 
@@ -99,62 +99,61 @@
 }
 
 const Damage damages[] = {
-    {"a swap to an older version", PromisePoint::VersionNeverBack,
+    {"a swap to an older version", Invariant::VersionNeverBack,
      [](History &history, Random &random) {
          auto &swap = eventOf<NodeSwapped>(laterSwap(history, random));
          swap.version = swap.previous - 1;
      }},
-    {"the same version taken twice", PromisePoint::VersionNeverBack,
+    {"the same version taken twice", Invariant::VersionNeverBack,
      [](History &history, Random &random) {
          auto &swap = eventOf<NodeSwapped>(laterSwap(history, random));
          swap.version = swap.previous;
      }},
-    {"an older version after a restart", PromisePoint::VersionNeverBack,
+    {"an older version after a restart", Invariant::VersionNeverBack,
      [](History &history, Random &) {
          auto swaps = recordsOf<NodeSwapped>(
              history, [](const NodeSwapped &swap) { return swap.previous == 0 && swap.version == 3; });
          eventOf<NodeSwapped>(swaps.front()).version = 2;
      }},
-    {"a swap that was not recorded", PromisePoint::VersionNeverBack,
+    {"a swap that was not recorded", Invariant::VersionNeverBack,
      [](History &history, Random &) {
          auto swaps =
              recordsOf<NodeSwapped>(history, [](const NodeSwapped &swap) { return swap.version == 2; });
          eraseOne(history, swaps.front());
      }},
-    {"a cluster left out", PromisePoint::NoDanglingRoute,
+    {"a cluster left out", Invariant::NoDanglingRoute,
      [](History &history, Random &random) {
          auto swaps = recordsOf<NodeSwapped>(history);
          eventOf<NodeSwapped>(pickOne(swaps, random)).clusters.pop_back();
      }},
-    {"work for a member never seen", PromisePoint::NoDanglingRoute,
+    {"work for a member never seen", Invariant::NoDanglingRoute,
      [](History &history, Random &random) {
          auto placed = recordsOf<NodePlaced>(history);
          eventOf<NodePlaced>(pickOne(placed, random)).member = "z9";
      }},
-    {"work for a cluster the version lacks", PromisePoint::NoDanglingRoute,
+    {"work for a cluster the version lacks", Invariant::NoDanglingRoute,
      [](History &history, Random &random) {
          auto placed = recordsOf<NodePlaced>(history);
          eventOf<NodePlaced>(pickOne(placed, random)).cluster = "billing";
      }},
-    {"work for a member that is long dead", PromisePoint::NoDanglingRoute,
+    {"work for a member that is long dead", Invariant::NoDanglingRoute,
      [](History &history, Random &random) {
          auto placed = recordsOf<NodePlaced>(history);
          const HistoryRecord record = *pickOne(placed, random);
          addEvent(history, millisecondsOf(&record) - 500, record.process,
                   NodeMember{std::get<NodePlaced>(record.event).member, 1, "dead", "ready", "booking"});
      }},
-    {"work for a member that changed several times, the first time too long ago",
-     PromisePoint::NoDanglingRoute,
+    {"work for a member that changed several times, the first time too long ago", Invariant::NoDanglingRoute,
      [](History &history, Random &) {
          changeMemberBeforeLastPlacement(history, {130, 20, 20});
      }},
-    {"routing by a version long replaced", PromisePoint::NoDanglingRoute,
+    {"routing by a version long replaced", Invariant::NoDanglingRoute,
      [](History &history, Random &) {
          auto placed =
              recordsOf<NodePlaced>(history, [](const NodePlaced &event) { return event.version == 3; });
          eventOf<NodePlaced>(placed.back()).version = 2;
      }},
-    {"a call routed by two versions", PromisePoint::NoDanglingRoute,
+    {"a call routed by two versions", Invariant::NoDanglingRoute,
      [](History &history, Random &) {
          auto placed =
              recordsOf<NodePlaced>(history, [](const NodePlaced &event) { return event.version == 3; });
@@ -163,36 +162,36 @@
          again.version = 2;
          addEvent(history, millisecondsOf(&record) + 20, record.process, again);
      }},
-    {"a bad version applied", PromisePoint::WholeVersions,
+    {"a bad version applied", Invariant::WholeVersions,
      [](History &history, Random &random) {
          auto offers = recordsOf<NodeOffered>(history, [](const NodeOffered &offer) { return offer.valid; });
          eventOf<NodeOffered>(pickOne(offers, random)).valid = false;
      }},
-    {"a version applied unchecked", PromisePoint::WholeVersions,
+    {"a version applied unchecked", Invariant::WholeVersions,
      [](History &history, Random &random) {
          auto offers = recordsOf<NodeOffered>(history, [](const NodeOffered &offer) { return offer.valid; });
          eraseOne(history, pickOne(offers, random));
      }},
-    {"a version applied in part", PromisePoint::WholeVersions,
+    {"a version applied in part", Invariant::WholeVersions,
      [](History &history, Random &random) {
          auto swaps = recordsOf<NodeSwapped>(history);
          auto &swap = eventOf<NodeSwapped>(pickOne(swaps, random));
          swap.clusters.pop_back();
          swap.routeClusters.pop_back();
      }},
-    {"a version that nobody accepted", PromisePoint::WholeVersions,
+    {"a version that nobody accepted", Invariant::WholeVersions,
      [](History &history, Random &random) {
          auto accepted = recordsOf<PublishAccepted>(history);
          eraseOne(history, pickOne(accepted, random));
      }},
-    {"an answer never given", PromisePoint::OwnWholeAnswer,
+    {"an answer never given", Invariant::OwnWholeAnswer,
      [](History &history, Random &random) { eraseOne(history, doneAnswer(history, random, false)); }},
-    {"an answer given twice", PromisePoint::OwnWholeAnswer,
+    {"an answer given twice", Invariant::OwnWholeAnswer,
      [](History &history, Random &random) {
          const HistoryRecord answer = *doneAnswer(history, random, false);
          addEvent(history, millisecondsOf(&answer) + 5, "load", answer.event);
      }},
-    {"two answers exchanged", PromisePoint::OwnWholeAnswer,
+    {"two answers exchanged", Invariant::OwnWholeAnswer,
      [](History &history, Random &) {
          auto answers = recordsOf<CallerAnswered>(history, [](const CallerAnswered &answer) {
              return answer.outcome == "done" && !answer.replayed;
@@ -200,37 +199,37 @@
          std::swap(eventOf<CallerAnswered>(answers.front()).body,
                    eventOf<CallerAnswered>(answers.back()).body);
      }},
-    {"an answer cut short", PromisePoint::OwnWholeAnswer,
+    {"an answer cut short", Invariant::OwnWholeAnswer,
      [](History &history, Random &random) {
          eventOf<CallerAnswered>(doneAnswer(history, random, false)).body = historyDigest("answer");
      }},
-    {"a replayed answer of another key", PromisePoint::OwnWholeAnswer,
+    {"a replayed answer of another key", Invariant::OwnWholeAnswer,
      [](History &history, Random &random) {
          eventOf<CallerAnswered>(doneAnswer(history, random, true)).body = historyDigest("other");
      }},
-    {"an answer without an outcome", PromisePoint::OwnWholeAnswer,
+    {"an answer without an outcome", Invariant::OwnWholeAnswer,
      [](History &history, Random &random) {
          eventOf<CallerAnswered>(doneAnswer(history, random, false)).outcome = "";
      }},
-    {"a request changed on its way", PromisePoint::OwnWholeAnswer,
+    {"a request changed on its way", Invariant::OwnWholeAnswer,
      [](History &history, Random &random) {
          auto began = recordsOf<UpstreamBegan>(history);
          eventOf<UpstreamBegan>(pickOne(began, random)).body = historyDigest("other");
      }},
-    {"a call lost without a fault of its node", PromisePoint::OwnWholeAnswer,
+    {"a call lost without a fault of its node", Invariant::OwnWholeAnswer,
      [](History &history, Random &) {
          auto faults = recordsOf<FaultBegan>(history);
          eventOf<FaultBegan>(faults.front()).target = "c1";
      }},
-    {"a call that a leaving node took and lost", PromisePoint::OwnWholeAnswer,
+    {"a call that a leaving node took and lost", Invariant::OwnWholeAnswer,
      [](History &history, Random &) {
          eventOf<FaultBegan>(recordsOf<FaultBegan>(history).front()).fault = "leaving";
      }},
-    {"a refused call that had run", PromisePoint::NotRunNeverRan,
+    {"a refused call that had run", Invariant::NotRunNeverRan,
      [](History &history, Random &random) {
          eventOf<CallerAnswered>(doneAnswer(history, random, false)).outcome = "not-run";
      }},
-    {"a refused call that runs later", PromisePoint::NotRunNeverRan,
+    {"a refused call that runs later", Invariant::NotRunNeverRan,
      [](History &history, Random &random) {
          auto refused = recordsOf<CallerAnswered>(
              history, [](const CallerAnswered &answer) { return answer.outcome == "not-run"; });
@@ -238,7 +237,7 @@
          addEvent(history, millisecondsOf(&record) + 700, "u-b1",
                   UpstreamBegan{std::get<CallerAnswered>(record.event).call, "later", "", ""});
      }},
-    {"a refused attempt that runs later", PromisePoint::NotRunNeverRan,
+    {"a refused attempt that runs later", Invariant::NotRunNeverRan,
      [](History &history, Random &random) {
          auto refused = recordsOf<GateRefused>(history);
          const HistoryRecord record = *pickOne(refused, random);
@@ -246,50 +245,50 @@
          addEvent(history, millisecondsOf(&record) + 700, "u-b1",
                   UpstreamBegan{event.call, event.attempt, "", ""});
      }},
-    {"an attempt said not to have run", PromisePoint::NotRunNeverRan,
+    {"an attempt said not to have run", Invariant::NotRunNeverRan,
      [](History &history, Random &random) {
          auto finished = recordsOf<GateFinished>(history);
          eventOf<GateFinished>(pickOne(finished, random)).outcome = "not-run";
      }},
-    {"a key that runs twice", PromisePoint::AtMostOnce,
+    {"a key that runs twice", Invariant::AtMostOnce,
      [](History &history, Random &random) {
          const HistoryRecord record = *beganOf(history, random, true);
          runAgain(history, std::get<UpstreamBegan>(record.event), "x.2", millisecondsOf(&record) + 300);
      }},
-    {"a key that runs twice for two calls", PromisePoint::AtMostOnce,
+    {"a key that runs twice for two calls", Invariant::AtMostOnce,
      [](History &history, Random &random) {
          const HistoryRecord record = *beganOf(history, random, true);
          UpstreamBegan again = std::get<UpstreamBegan>(record.event);
          again.call += "again";
          runAgain(history, again, again.call + ".1", millisecondsOf(&record) + 300);
      }},
-    {"a keyless call that runs twice", PromisePoint::AtMostOnce,
+    {"a keyless call that runs twice", Invariant::AtMostOnce,
      [](History &history, Random &random) {
          const HistoryRecord record = *beganOf(history, random, false);
          runAgain(history, std::get<UpstreamBegan>(record.event), "x.2", millisecondsOf(&record) + 300);
      }},
-    {"an attempt that runs twice", PromisePoint::AtMostOnce,
+    {"an attempt that runs twice", Invariant::AtMostOnce,
      [](History &history, Random &random) {
          auto began = recordsOf<UpstreamBegan>(history);
          const HistoryRecord record = *pickOne(began, random);
          const auto &event = std::get<UpstreamBegan>(record.event);
          runAgain(history, event, event.attempt, millisecondsOf(&record) + 300);
      }},
-    {"an upstream given work after it left", PromisePoint::LeavingGetsNoWork,
+    {"an upstream given work after it left", Invariant::LeavingGetsNoWork,
      [](History &history, Random &) {
          addEvent(history, 22'000 + 3'200, "u-c1", UpstreamBegan{"call1", "x.2", "", ""});
      }},
-    {"a gate that starts work for an upstream that left", PromisePoint::LeavingGetsNoWork,
+    {"a gate that starts work for an upstream that left", Invariant::LeavingGetsNoWork,
      [](History &history, Random &) {
          addEvent(history, 25'300, "c1", GateStarted{"call1", "x.2"});
      }},
-    {"a drain with no load after it", PromisePoint::LeavingGetsNoWork,
+    {"a drain with no load after it", Invariant::LeavingGetsNoWork,
      [](History &history, Random &) {
          auto late =
              recordsOf<CallerSent>(history, [](const CallerSent &sent) { return sent.call == "late"; });
          late.front()->time = 24'000 * millisecond;
      }},
-    {"a call that the leaving upstream cancels", PromisePoint::ShutdownCutsNothing,
+    {"a call that the leaving upstream cancels", Invariant::ShutdownCutsNothing,
      [](History &history, Random &) {
          auto ended = recordsOf<UpstreamEnded>(
              history, [](const UpstreamEnded &event) { return event.call == "inflight"; });
@@ -298,7 +297,7 @@
              history, [](const CallerAnswered &event) { return event.call == "inflight"; });
          eventOf<CallerAnswered>(answer.front()).outcome = "unknown";
      }},
-    {"a call that the leaving upstream cancels before its deadline", PromisePoint::ShutdownCutsNothing,
+    {"a call that the leaving upstream cancels before its deadline", Invariant::ShutdownCutsNothing,
      [](History &history, Random &) {
          auto sent =
              recordsOf<CallerSent>(history, [](const CallerSent &event) { return event.call == "inflight"; });
@@ -307,61 +306,61 @@
              history, [](const CallerAnswered &event) { return event.call == "inflight"; });
          eventOf<CallerAnswered>(answer.front()).outcome = "unknown";
      }},
-    {"a call that the leaving upstream forgets", PromisePoint::ShutdownCutsNothing,
+    {"a call that the leaving upstream forgets", Invariant::ShutdownCutsNothing,
      [](History &history, Random &) {
          auto ended = recordsOf<UpstreamEnded>(
              history, [](const UpstreamEnded &event) { return event.call == "inflight"; });
          eraseOne(history, ended.front());
      }},
-    {"an upstream that crashes while it leaves", PromisePoint::ShutdownCutsNothing,
+    {"an upstream that crashes while it leaves", Invariant::ShutdownCutsNothing,
      [](History &history, Random &) {
          auto exits = recordsOf<ProcessExited>(
              history, [](const ProcessExited &event) { return event.target == "u-c1"; });
          eventOf<ProcessExited>(exits.front()).status = -11;
      }},
-    {"a node that misses an accepted version", PromisePoint::AcceptedInForce,
+    {"a node that misses an accepted version", Invariant::AcceptedInForce,
      [](History &history, Random &random) { eraseOne(history, lastVersionSwap(history, random)); }},
-    {"a node that takes an accepted version late", PromisePoint::AcceptedInForce,
+    {"a node that takes an accepted version late", Invariant::AcceptedInForce,
      [](History &history, Random &random) { lastVersionSwap(history, random)->time += 9'000 * millisecond; }},
-    {"a node that reverts an accepted version", PromisePoint::AcceptedInForce,
+    {"a node that reverts an accepted version", Invariant::AcceptedInForce,
      [](History &history, Random &) {
          addEvent(history, 30'000, "a1", NodeSwapped{2, 3, "sj", "d2", {"booking"}, {}});
      }},
-    {"a version accepted for two operators", PromisePoint::AcceptedInForce,
+    {"a version accepted for two operators", Invariant::AcceptedInForce,
      [](History &history, Random &) {
          addEvent(history, 8'010, "operator", PublishAccepted{2, "q2"});
      }},
-    {"a publish both accepted and refused", PromisePoint::AcceptedInForce,
+    {"a publish both accepted and refused", Invariant::AcceptedInForce,
      [](History &history, Random &) {
          addEvent(history, 8'010, "operator", PublishRefused{2, "p2", "q2"});
      }},
 };
 
-const PromisePoint points[] = {
-    PromisePoint::VersionNeverBack,  PromisePoint::NoDanglingRoute,     PromisePoint::WholeVersions,
-    PromisePoint::OwnWholeAnswer,    PromisePoint::NotRunNeverRan,      PromisePoint::AtMostOnce,
-    PromisePoint::LeavingGetsNoWork, PromisePoint::ShutdownCutsNothing, PromisePoint::AcceptedInForce,
+const Invariant invariants[] = {
+    Invariant::VersionNeverBack,  Invariant::NoDanglingRoute,     Invariant::WholeVersions,
+    Invariant::OwnWholeAnswer,    Invariant::NotRunNeverRan,      Invariant::AtMostOnce,
+    Invariant::LeavingGetsNoWork, Invariant::ShutdownCutsNothing, Invariant::AcceptedInForce,
 };
 
 // Changes after which the promise still holds.
 const Damage allowedChanges[] = {
-    {"a call that the platform's outage leaves unknown", PromisePoint::OwnWholeAnswer,
+    {"a call that the platform's outage leaves unknown", Invariant::OwnWholeAnswer,
      [](History &history, Random &random) {
          eventOf<CallerAnswered>(doneAnswer(history, random, false)).outcome = "unknown";
      }},
-    {"a connection that a leaving node refused", PromisePoint::OwnWholeAnswer,
+    {"a connection that a leaving node refused", Invariant::OwnWholeAnswer,
      [](History &history, Random &) {
          eventOf<FaultBegan>(recordsOf<FaultBegan>(history).front()).fault = "leaving";
          eventOf<CallerLost>(recordsOf<CallerLost>(history).front()).sent = false;
      }},
-    {"a second attempt by the version that its call was routed by", PromisePoint::NoDanglingRoute,
+    {"a second attempt by the version that its call was routed by", Invariant::NoDanglingRoute,
      [](History &history, Random &) {
          auto placed =
              recordsOf<NodePlaced>(history, [](const NodePlaced &event) { return event.version == 1; });
          const HistoryRecord record = *placed.front();
          addEvent(history, 9'900, record.process, record.event);
      }},
-    {"a member that died a moment ago", PromisePoint::NoDanglingRoute,
+    {"a member that died a moment ago", Invariant::NoDanglingRoute,
      [](History &history, Random &) {
          auto placed = recordsOf<NodePlaced>(history);
          const HistoryRecord record = *placed.back();
@@ -370,11 +369,11 @@
      }},
     // Alive without an upstream, suspect, alive again within 6 ms: a thread that read the picture before all
     // three places by it for as long as after one change.
-    {"a member that changed several times a moment ago", PromisePoint::NoDanglingRoute,
+    {"a member that changed several times a moment ago", Invariant::NoDanglingRoute,
      [](History &history, Random &) {
          changeMemberBeforeLastPlacement(history, {26, 20, 20});
      }},
-    {"a version held up by the platform's outage", PromisePoint::AcceptedInForce,
+    {"a version held up by the platform's outage", Invariant::AcceptedInForce,
      [](History &history, Random &) {
          addEvent(history, 12'001, "driver", FaultBegan{"down", "platform"});
          addEvent(history, 20'000, "driver", FaultEnded{"down", "platform"});
@@ -382,7 +381,7 @@
              history, [](const NodeSwapped &swap) { return swap.version == 3 && swap.previous == 2; });
          swaps.front()->time += 9'000 * millisecond;
      }},
-    {"a call in flight at the drain that its deadline ends", PromisePoint::ShutdownCutsNothing,
+    {"a call in flight at the drain that its deadline ends", Invariant::ShutdownCutsNothing,
      [](History &history, Random &) {
          auto sent =
              recordsOf<CallerSent>(history, [](const CallerSent &event) { return event.call == "inflight"; });
@@ -391,29 +390,29 @@
              history, [](const CallerAnswered &event) { return event.call == "inflight"; });
          eventOf<CallerAnswered>(answer.front()).outcome = "unknown";
      }},
-    {"an idempotent call that runs again", PromisePoint::AtMostOnce,
+    {"an idempotent call that runs again", Invariant::AtMostOnce,
      [](History &history, Random &) {
          addEvent(history, 30'010, "u-b1", UpstreamBegan{"late", "late.2", "", ""});
      }},
 };
 
-Verdict judge(const Damage &damage, std::uint64_t seed)
+CheckResult judge(const Damage &damage, std::uint64_t seed)
 {
     History history = makeGoodHistory(seed);
     Random random(seed);
     damage.apply(history, random);
     sortHistory(history);
-    return checkPromise(damage.point, history, CheckLimits{});
+    return checkInvariant(damage.invariant, history, CheckLimits{});
 }
 
 } // namespace
 
-TABLE_TEST(checkers, goodHistoriesHold, points)
+TABLE_TEST(checkers, goodHistoriesHold, invariants)
 {
     for (std::uint64_t seed = 1; seed <= seedCount; ++seed) {
         const History history = makeGoodHistory(seed);
-        const Verdict verdict = checkPromise(row, history, CheckLimits{});
-        cr_assert(verdict.holds(), "seed %zu: %zu judged, %s", std::size_t(seed), verdict.eventsJudged,
+        const CheckResult verdict = checkInvariant(row, history, CheckLimits{});
+        cr_assert(verdict.holds(), "seed %zu: %zu judged, %s", std::size_t(seed), verdict.eventsChecked,
                   verdict.violations.empty() ? "" : verdict.violations.front().text.c_str());
     }
 }
@@ -421,7 +420,7 @@
 TABLE_TEST(checkers, damageIsFound, damages)
 {
     for (std::uint64_t seed = 1; seed <= seedCount; ++seed) {
-        const Verdict verdict = judge(row, seed);
+        const CheckResult verdict = judge(row, seed);
         cr_assert(!verdict.holds(), "%s, seed %zu", row.name, std::size_t(seed));
         for (const Violation &violation : verdict.violations)
             cr_assert(!violation.evidence.empty(), "%s", row.name);
@@ -431,15 +430,15 @@
 TABLE_TEST(checkers, allowedChangesHold, allowedChanges)
 {
     for (std::uint64_t seed = 1; seed <= seedCount; ++seed) {
-        const Verdict verdict = judge(row, seed);
+        const CheckResult verdict = judge(row, seed);
         cr_assert(verdict.holds(), "%s, seed %zu: %s", row.name, std::size_t(seed),
                   verdict.violations.empty() ? "vacuous" : verdict.violations.front().text.c_str());
     }
 }
 
-TABLE_TEST(checkers, anEmptyHistoryProvesNothing, points)
+TABLE_TEST(checkers, anEmptyHistoryProvesNothing, invariants)
 {
-    const Verdict verdict = checkPromise(row, History{}, CheckLimits{});
+    const CheckResult verdict = checkInvariant(row, History{}, CheckLimits{});
     cr_assert(verdict.vacuous());
     cr_assert(!verdict.holds());
 }
--- a/Tests/LibHistory/TestHistoryReader.cpp
+++ b/Tests/LibHistory/TestHistoryReader.cpp
@@ -50,7 +50,7 @@
     cr_assert(
         bool(readHistoryStream(history, "s", std::string(started) + R"({"t":2,"p":"a","n":2,"e":"ga)")));
     cr_assert(history.records.size() == 1);
-    cr_assert(history.tornLines == 1);
+    cr_assert(history.truncatedLines == 1);
 }
 
 Test(historyReader, aStreamMustBeginWithItsProcess)
--- a/Utilities/Check/Main.cpp
+++ b/Utilities/Check/Main.cpp
@@ -48,20 +48,20 @@
     return description;
 }
 
-std::optional<std::vector<PromisePoint>> pointsFromText(const std::string &text)
+std::optional<std::vector<Invariant>> pointsFromText(const std::string &text)
 {
-    std::vector<PromisePoint> points;
+    std::vector<Invariant> points;
     if (text == "all") {
-        for (const auto &[point, name] : promisePointNames.rows)
+        for (const auto &[point, name] : invariantNames.rows)
             points.push_back(point);
         return points;
     }
     std::istringstream names(text);
     for (std::string name; std::getline(names, name, ',');) {
-        const std::optional<PromisePoint> point = promisePointNames.value(name);
+        const std::optional<Invariant> point = invariantNames.value(name);
         if (!point) {
             std::cerr << "there is no promise named " << name << "; there are:\n";
-            for (const auto &[each, eachName] : promisePointNames.rows)
+            for (const auto &[each, eachName] : invariantNames.rows)
                 std::cerr << "  " << eachName << "\n";
             return std::nullopt;
         }
@@ -70,7 +70,7 @@
     return points;
 }
 
-int judge(const Settings &settings, const std::vector<PromisePoint> &points)
+int judge(const Settings &settings, const std::vector<Invariant> &points)
 {
     const Result<History> history = readHistoryFiles(settings.files);
     if (!history) {
@@ -80,10 +80,10 @@
     CheckLimits limits;
     limits.drain = Milliseconds(settings.drainMilliseconds);
     limits.convergence = Milliseconds(settings.convergenceMilliseconds);
-    std::vector<Verdict> verdicts;
+    std::vector<CheckResult> verdicts;
     bool allHold = true;
-    for (const PromisePoint point : points) {
-        verdicts.push_back(checkPromise(point, history.value(), limits));
+    for (const Invariant point : points) {
+        verdicts.push_back(checkInvariant(point, history.value(), limits));
         allHold = allHold && verdicts.back().holds();
     }
     if (settings.json)
--- a/Utilities/Check/Report.cpp
+++ b/Utilities/Check/Report.cpp
@@ -14,7 +14,7 @@
 constexpr int nameWidth = 24;
 constexpr int numberWidth = 9;
 
-std::string_view resultText(const Verdict &verdict)
+std::string_view resultText(const CheckResult &verdict)
 {
     if (!verdict.violations.empty())
         return "BROKEN";
@@ -26,12 +26,12 @@
     return history.records.empty() ? 0 : history.records.front().time;
 }
 
-void printViolations(std::ostream &out, const History &history, const Verdict &verdict, std::size_t shown)
+void printViolations(std::ostream &out, const History &history, const CheckResult &verdict, std::size_t shown)
 {
     for (const Violation &violation : verdict.violations) {
         if (shown-- == 0)
             break;
-        out << "\n" << promisePointNames.name(verdict.point) << ": " << violation.text << "\n";
+        out << "\n" << invariantNames.name(verdict.invariant) << ": " << violation.text << "\n";
         for (const HistoryRecord *record : violation.evidence)
             out << "    " << describeRecord(*record, originOf(history)) << "\n";
     }
@@ -62,43 +62,43 @@
 
 } // namespace
 
-void printTable(std::ostream &out, const History &history, const std::vector<Verdict> &verdicts,
+void printTable(std::ostream &out, const History &history, const std::vector<CheckResult> &verdicts,
                 std::size_t shownViolations)
 {
     out << std::left << std::setw(nameWidth) << "promise" << std::right << std::setw(numberWidth) << "judged"
         << std::setw(numberWidth) << "broken"
         << "  result\n";
-    for (const Verdict &verdict : verdicts) {
-        out << std::left << std::setw(nameWidth) << promisePointNames.name(verdict.point) << std::right
-            << std::setw(numberWidth) << verdict.eventsJudged << std::setw(numberWidth)
+    for (const CheckResult &verdict : verdicts) {
+        out << std::left << std::setw(nameWidth) << invariantNames.name(verdict.invariant) << std::right
+            << std::setw(numberWidth) << verdict.eventsChecked << std::setw(numberWidth)
             << verdict.violations.size() << "  " << resultText(verdict);
         if (!verdict.note.empty())
             out << " (" << verdict.note << ")";
         out << "\n";
     }
-    out << history.records.size() << " events of " << history.lifetimes << " processes, " << history.tornLines
-        << " unfinished last lines\n";
+    out << history.records.size() << " events of " << history.lifetimes << " processes, "
+        << history.truncatedLines << " unfinished last lines\n";
     printTotals(out, countCalls(history));
-    for (const Verdict &verdict : verdicts)
+    for (const CheckResult &verdict : verdicts)
         printViolations(out, history, verdict, shownViolations);
 }
 
-void printJson(std::ostream &out, const History &history, const std::vector<Verdict> &verdicts)
+void printJson(std::ostream &out, const History &history, const std::vector<CheckResult> &verdicts)
 {
     json::array rows;
-    for (const Verdict &verdict : verdicts) {
+    for (const CheckResult &verdict : verdicts) {
         json::array violations;
         for (const Violation &violation : verdict.violations)
             violations.emplace_back(violation.text);
-        rows.push_back(json::object{{"promise", promisePointNames.name(verdict.point)},
-                                    {"judged", verdict.eventsJudged},
+        rows.push_back(json::object{{"promise", invariantNames.name(verdict.invariant)},
+                                    {"judged", verdict.eventsChecked},
                                     {"result", resultText(verdict)},
                                     {"note", verdict.note},
                                     {"violations", std::move(violations)}});
     }
     out << json::serialize(json::object{{"events", history.records.size()},
                                         {"processes", history.lifetimes},
-                                        {"torn", history.tornLines},
+                                        {"torn", history.truncatedLines},
                                         {"calls", totalsJson(countCalls(history))},
                                         {"promises", std::move(rows)}})
         << "\n";
--- a/Utilities/Check/Report.h
+++ b/Utilities/Check/Report.h
@@ -10,9 +10,9 @@
 namespace Sagecrank {
 
 // Prints at most `shownViolations` of each promise, each with its events.
-void printTable(std::ostream &out, const History &history, const std::vector<Verdict> &verdicts,
+void printTable(std::ostream &out, const History &history, const std::vector<CheckResult> &verdicts,
                 std::size_t shownViolations);
 
-void printJson(std::ostream &out, const History &history, const std::vector<Verdict> &verdicts);
+void printJson(std::ostream &out, const History &history, const std::vector<CheckResult> &verdicts);
 
 } // namespace Sagecrank
