--- a/Libraries/LibHistory/CallIndex.cpp
+++ b/Libraries/LibHistory/CallIndex.cpp
@@ -1,3 +1,4 @@
+// Builds the index of call events and the list of injected faults.
 #include <LibHistory/CallIndex.h>
 
 namespace Sagecrank {
--- a/Libraries/LibHistory/Checkers.cpp
+++ b/Libraries/LibHistory/Checkers.cpp
@@ -1,3 +1,4 @@
+// Selects the checker of an invariant and counts the calls of a history.
 #include <LibHistory/Checkers.h>
 
 #include <map>
@@ -37,7 +38,7 @@
     }
 }
 
-// Attempts that run in each process lifetime at the moment.
+// The number of running attempts in each process lifetime.
 using RunningByLifetime = std::map<std::size_t, std::size_t>;
 
 } // namespace
--- a/Libraries/LibHistory/Checkers.h
+++ b/Libraries/LibHistory/Checkers.h
@@ -1,6 +1,6 @@
-// One checker for each promise that must always hold. A checker is a pure function over a merged history; it
-// gives the violations it found with the events that show each, and how many events it judged. One that
-// judged none proves nothing and counts as failed.
+// Checkers for the invariants of the mesh. A checker is a pure function over a merged history. It returns the
+// violations with the events that show each of them, and the number of events it checked. A check of no
+// events proves nothing and counts as failed.
 #pragma once
 
 #include <LibCore/EnumNames.h>
@@ -15,14 +15,14 @@
 namespace Sagecrank {
 
 enum class Invariant : std::uint8_t {
-    VersionNeverBack,    // No node moves back to an older version than one it has held.
-    NoDanglingRoute,     // No route points at a cluster or upstream that the node does not have.
-    WholeVersions,       // A node holds all of a version or none of it; a bad one is never applied.
-    OwnWholeAnswer,      // Each caller gets the whole answer to its own request.
-    NotRunNeverRan,      // What was refused as "not run" did not run and does not run later.
+    VersionNeverBack,    // No node returns to an older version than one it has held.
+    NoDanglingRoute,     // No route refers to a cluster or upstream that the node lacks.
+    WholeVersions,       // A version is applied completely or not at all; an invalid one never is.
+    OwnWholeAnswer,      // Each caller gets the complete response to its own request.
+    NotRunNeverRan,      // Work that was refused as "not run" has not run and never will.
     AtMostOnce,          // Non-idempotent work runs at most once.
-    LeavingGetsNoWork,   // A leaving upstream receives no new work after a few seconds.
-    ShutdownCutsNothing, // A graceful shutdown cuts no request in flight.
+    LeavingGetsNoWork,   // A draining upstream receives no new work after a few seconds.
+    ShutdownCutsNothing, // A graceful shutdown aborts no request in flight.
     AcceptedInForce,     // An accepted version is in force on every node in time and never reverts.
 };
 
@@ -40,19 +40,19 @@
 
 struct CheckLimits
 {
-    // After it has said that it leaves, an upstream may still be given work for this long: the news has to
-    // travel, and the promise says "a few seconds".
+    // How long an upstream may still receive work after it announced that it drains. The announcement takes
+    // time to propagate; the invariant allows "a few seconds".
     std::chrono::nanoseconds drain = std::chrono::seconds(3);
-    // From acceptance until a version must be in force on every node that is up and reachable.
+    // Time from acceptance until a version must be in force on every node that is up and reachable.
     std::chrono::nanoseconds convergence = std::chrono::seconds(7);
-    // A request thread may still act on the picture that another thread has just replaced.
+    // How long a request thread may still use a snapshot that another thread has just replaced.
     std::chrono::nanoseconds staleRead = std::chrono::milliseconds(100);
 };
 
 struct Violation
 {
     std::string text;
-    std::vector<const HistoryRecord *> evidence; // Into the checked history, in order of time.
+    std::vector<const HistoryRecord *> evidence; // Points into the checked history; ordered by time.
 };
 
 struct CheckResult
@@ -60,7 +60,7 @@
     Invariant invariant = Invariant::VersionNeverBack;
     std::size_t eventsChecked = 0;
     std::vector<Violation> violations;
-    std::string note; // Figures to show beside the verdict; may be empty.
+    std::string note; // Statistics to show with the result; may be empty.
 
     bool vacuous() const { return this->eventsChecked == 0; }
     bool holds() const { return !this->vacuous() && this->violations.empty(); }
@@ -79,7 +79,8 @@
 // Runs the checker of one invariant.
 CheckResult checkInvariant(Invariant invariant, const History &history, const CheckLimits &limits);
 
-// What the callers saw; goes beside the verdicts, since a run in which nothing was done proves little.
+// Totals of what the callers saw. They are reported with the results, since a run without completed calls
+// proves little.
 struct CallTotals
 {
     std::size_t sent = 0;
@@ -90,7 +91,7 @@
     std::size_t unknown = 0;
     std::size_t lost = 0;
     std::size_t drains = 0;
-    std::size_t inFlightAtDrain = 0; // Calls that ran on an upstream when it began to leave.
+    std::size_t inFlightAtDrain = 0; // Calls that were running on an upstream when it began to drain.
     std::size_t versionsAccepted = 0;
 };
 
--- a/Libraries/LibHistory/DrainCheckers.cpp
+++ b/Libraries/LibHistory/DrainCheckers.cpp
@@ -1,4 +1,5 @@
-// Judges upstreams that leave: they get no new work after a few seconds, and what they have is not cut.
+// Checks draining upstreams: they receive no new work after a few seconds, and their running work is not
+// aborted.
 #include <LibHistory/CallIndex.h>
 #include <LibHistory/Checkers.h>
 
@@ -10,14 +11,14 @@
 
 namespace {
 
-// One upstream process that was told to leave.
+// One upstream process that was told to drain.
 struct Drain
 {
     const HistoryRecord *record = nullptr;
     std::string_view upstream;             // Process name.
-    std::string_view node;                 // The node beside it; empty when the driver did not say.
-    std::uint64_t replaced = 0;            // When the next upstream was launched beside the same node.
-    const HistoryRecord *exited = nullptr; // The driver's record of its end.
+    std::string_view node;                 // The node on its host; empty when the driver did not record it.
+    std::uint64_t replaced = 0;            // When the next upstream of the same node was launched.
+    const HistoryRecord *exited = nullptr; // The driver's record of its exit.
 };
 
 std::vector<Drain> collectDrains(const History &history)
@@ -46,36 +47,36 @@
     return drains;
 }
 
-void judgeLateWork(CheckResult &verdict, const History &history, const Drain &drain, std::uint64_t allowed)
+void checkLateWork(CheckResult &result, const History &history, const Drain &drain, std::uint64_t allowed)
 {
-    const std::uint64_t due = drain.record->time + allowed;
-    bool loadWentOn = false;
+    const std::uint64_t deadline = drain.record->time + allowed;
+    bool hadLoad = false;
     for (const HistoryRecord &record : history.records) {
-        if (record.time <= due)
+        if (record.time <= deadline)
             continue;
         if (std::holds_alternative<CallerSent>(record.event)) {
-            loadWentOn = true;
+            hadLoad = true;
         } else if (std::holds_alternative<UpstreamBegan>(record.event)) {
             if (record.lifetime == drain.record->lifetime)
-                verdict.violations.push_back(
+                result.violations.push_back(
                     {std::string(drain.upstream) + " was given work after it had left",
                      {drain.record, &record}});
         } else if (std::holds_alternative<GateStarted>(record.event)) {
             if (!drain.node.empty() && record.process == drain.node && record.time < drain.replaced)
-                verdict.violations.push_back({std::string(drain.node) + " started work for "
-                                                  + std::string(drain.upstream) + " after it had left",
-                                              {drain.record, &record}});
+                result.violations.push_back({std::string(drain.node) + " started work for "
+                                                 + std::string(drain.upstream) + " after it had left",
+                                             {drain.record, &record}});
         }
     }
-    // Without load nothing could have been sent to it, so such a drain proves nothing.
-    if (loadWentOn)
-        ++verdict.eventsChecked;
+    // Without load nothing could have been sent to the upstream, so such a drain proves nothing.
+    if (hadLoad)
+        ++result.eventsChecked;
 }
 
-class ShutdownJudge
+class ShutdownChecker
 {
 public:
-    explicit ShutdownJudge(const History &history)
+    explicit ShutdownChecker(const History &history)
         : history(history)
         , index(history)
         , faults(faultWindows(history))
@@ -87,7 +88,7 @@
         }
     }
 
-    // Attempts that were running when the upstream was told to leave, or began after that.
+    // Returns the attempts that were running when the upstream began to drain, or that started later.
     CallIndex::Records openAttempts(const Drain &drain) const
     {
         CallIndex::Records open;
@@ -102,9 +103,9 @@
         return open;
     }
 
-    void judgeAttempt(CheckResult &verdict, const Drain &drain, const HistoryRecord &record) const
+    void checkAttempt(CheckResult &result, const Drain &drain, const HistoryRecord &record) const
     {
-        ++verdict.eventsChecked;
+        ++result.eventsChecked;
         const auto &began = std::get<UpstreamBegan>(record.event);
         const HistoryRecord *ended = this->endOf(began);
         const HistoryRecord *sent = first(CallIndex::find(this->index.sentByCall, began.call));
@@ -112,27 +113,27 @@
         const auto *answered = closed ? std::get_if<CallerAnswered>(&closed->event) : nullptr;
         const bool answeredDone = answered != nullptr && answered->outcome == "done";
         if (answeredDone && ended != nullptr)
-            return; // The answer arrived; an attempt that was cancelled lost against a hedge.
-        if (sent != nullptr && closed != nullptr && this->excused(drain, *sent, *closed))
+            return; // The caller got its response; if this attempt was cancelled, a hedged attempt won.
+        if (sent != nullptr && closed != nullptr && this->mayEndEarly(drain, *sent, *closed))
             return;
         std::vector<const HistoryRecord *> evidence;
-        for (const HistoryRecord *each : {sent, &record, drain.record, ended, closed}) {
-            if (each != nullptr)
-                evidence.push_back(each);
+        for (const HistoryRecord *candidate : {sent, &record, drain.record, ended, closed}) {
+            if (candidate != nullptr)
+                evidence.push_back(candidate);
         }
         std::sort(evidence.begin(), evidence.end(),
                   [](const auto *left, const auto *right) { return left->time < right->time; });
-        verdict.violations.push_back(
+        result.violations.push_back(
             {"call " + began.call + " was cut when " + std::string(drain.upstream) + " left",
              std::move(evidence)});
     }
 
-    void judgeExit(CheckResult &verdict, const Drain &drain) const
+    void checkExit(CheckResult &result, const Drain &drain) const
     {
         if (drain.exited == nullptr || std::get<ProcessExited>(drain.exited->event).status == 0)
             return;
-        if (!this->disturbed(drain.upstream, drain.record->time, drain.exited->time))
-            verdict.violations.push_back(
+        if (!this->hadFault(drain.upstream, drain.record->time, drain.exited->time))
+            result.violations.push_back(
                 {std::string(drain.upstream) + " did not end in good order", {drain.record, drain.exited}});
     }
 
@@ -147,7 +148,7 @@
         return first(CallIndex::find(this->index.endedByAttempt, {began.call, began.attempt}));
     }
 
-    bool disturbed(std::string_view process, std::uint64_t from, std::uint64_t until) const
+    bool hadFault(std::string_view process, std::uint64_t from, std::uint64_t until) const
     {
         return std::any_of(this->faults.begin(), this->faults.end(), [&](const FaultWindow &window) {
             const bool covers = window.target == process && window.began <= until && window.ended >= from;
@@ -155,23 +156,23 @@
         });
     }
 
-    // The caller's own deadline, or a fault of a process on the call's path, may end a call early; the
-    // upstream's leaving may not.
-    bool excused(const Drain &drain, const HistoryRecord &sentRecord, const HistoryRecord &closed) const
+    // A call may end early because of its own deadline or a fault of a process on its path, but not because
+    // the upstream drains.
+    bool mayEndEarly(const Drain &drain, const HistoryRecord &sentRecord, const HistoryRecord &closed) const
     {
         constexpr std::uint64_t nanosecondsPerMillisecond = 1'000'000;
-        // Each hop hands the time that is left on in whole milliseconds, and the gate's is cut by one, so
-        // that its word arrives in time.
-        constexpr std::uint64_t lostToRounding = 5 * nanosecondsPerMillisecond;
+        // Each hop forwards the remaining time in whole milliseconds, and the gate subtracts one more so that
+        // its response arrives in time.
+        constexpr std::uint64_t roundingLoss = 5 * nanosecondsPerMillisecond;
         const auto &sent = std::get<CallerSent>(sentRecord.event);
         const std::uint64_t allowed = sent.deadlineMilliseconds * nanosecondsPerMillisecond;
-        if (allowed != 0 && closed.time + lostToRounding >= sentRecord.time + allowed)
+        if (allowed != 0 && closed.time + roundingLoss >= sentRecord.time + allowed)
             return true;
         const auto entry = this->nodeByAddress.find(sent.node);
         const auto from = sentRecord.time;
-        return this->disturbed(drain.upstream, from, closed.time)
-               || this->disturbed(drain.node, from, closed.time)
-               || (entry != this->nodeByAddress.end() && this->disturbed(entry->second, from, closed.time));
+        return this->hadFault(drain.upstream, from, closed.time)
+               || this->hadFault(drain.node, from, closed.time)
+               || (entry != this->nodeByAddress.end() && this->hadFault(entry->second, from, closed.time));
     }
 
     const History &history;
@@ -184,24 +185,24 @@
 
 CheckResult checkLeavingGetsNoWork(const History &history, const CheckLimits &limits)
 {
-    CheckResult verdict{Invariant::LeavingGetsNoWork, 0, {}, {}};
+    CheckResult result{Invariant::LeavingGetsNoWork, 0, {}, {}};
     for (const Drain &drain : collectDrains(history))
-        judgeLateWork(verdict, history, drain, std::uint64_t(limits.drain.count()));
-    return verdict;
+        checkLateWork(result, history, drain, std::uint64_t(limits.drain.count()));
+    return result;
 }
 
 CheckResult checkShutdownCutsNothing(const History &history, const CheckLimits &)
 {
-    CheckResult verdict{Invariant::ShutdownCutsNothing, 0, {}, {}};
-    const ShutdownJudge judge(history);
+    CheckResult result{Invariant::ShutdownCutsNothing, 0, {}, {}};
+    const ShutdownChecker checker(history);
     const std::vector<Drain> drains = collectDrains(history);
     for (const Drain &drain : drains) {
-        for (const HistoryRecord *attempt : judge.openAttempts(drain))
-            judge.judgeAttempt(verdict, drain, *attempt);
-        judge.judgeExit(verdict, drain);
+        for (const HistoryRecord *attempt : checker.openAttempts(drain))
+            checker.checkAttempt(result, drain, *attempt);
+        checker.checkExit(result, drain);
     }
-    verdict.note = std::to_string(drains.size()) + " drains";
-    return verdict;
+    result.note = std::to_string(drains.size()) + " drains";
+    return result;
 }
 
 } // namespace Sagecrank
--- a/Libraries/LibHistory/History.cpp
+++ b/Libraries/LibHistory/History.cpp
@@ -1,3 +1,4 @@
+// Reads the streams of processes and merges them into one history.
 #include <LibHistory/History.h>
 #include <LibHistory/HistoryRecorder.h>
 
@@ -16,27 +17,27 @@
 
 namespace {
 
-// The recorder writes a byte outside ASCII as the code point of the same number.
+// Restores bytes outside ASCII, which the recorder writes as the code points of the same value.
 std::string bytesFromText(std::string_view text)
 {
-    constexpr unsigned char twoByteLead = 0xc0;
+    constexpr unsigned char firstTwoByteLead = 0xc0;
     constexpr unsigned char leadMask = 0x03;
-    constexpr unsigned char followMask = 0x3f;
+    constexpr unsigned char continuationMask = 0x3f;
     std::string bytes;
     bytes.reserve(text.size());
     for (std::size_t index = 0; index < text.size(); ++index) {
         const auto byte = static_cast<unsigned char>(text[index]);
-        if (byte < twoByteLead || index + 1 == text.size()) {
+        if (byte < firstTwoByteLead || index + 1 == text.size()) {
             bytes += text[index];
             continue;
         }
-        const auto follow = static_cast<unsigned char>(text[++index]);
-        bytes += static_cast<char>(((byte & leadMask) << 6) | (follow & followMask));
+        const auto continuation = static_cast<unsigned char>(text[++index]);
+        bytes += static_cast<char>(((byte & leadMask) << 6) | (continuation & continuationMask));
     }
     return bytes;
 }
 
-// Fills the fields that it visits from a JSON object and keeps the first thing that is wrong.
+// Reads the visited fields from a JSON object and keeps the first error.
 class FieldReader
 {
 public:
@@ -106,9 +107,9 @@
     std::string &problem;
 };
 
-// Makes an event of the wanted kind out of every alternative of the variant; nothing when there is none.
+// Returns a default event of the given kind, or nothing if no alternative of the variant has that kind.
 template <std::size_t Index = 0>
-std::optional<HistoryEvent> emptyEvent(HistoryEventKind kind)
+std::optional<HistoryEvent> defaultEvent(HistoryEventKind kind)
 {
     if constexpr (Index == std::variant_size_v<HistoryEvent>) {
         return std::nullopt;
@@ -116,7 +117,7 @@
         using Event = std::variant_alternative_t<Index, HistoryEvent>;
         if (Event::kind == kind)
             return Event{};
-        return emptyEvent<Index + 1>(kind);
+        return defaultEvent<Index + 1>(kind);
     }
 }
 
@@ -144,7 +145,7 @@
     if (problem.empty() && !kind)
         return lineError(streamName, lineNumber, "unknown event " + kindName);
     if (problem.empty()) {
-        record.event = *emptyEvent(*kind);
+        record.event = *defaultEvent(*kind);
         std::visit([&reader](auto &event) { event.visitFields(event, reader); }, record.event);
     }
     if (!problem.empty())
@@ -152,7 +153,7 @@
     return record;
 }
 
-// Follows the sequence of one stream and gives each record the lifetime that it belongs to.
+// Checks the sequence of one stream and assigns each record to its lifetime.
 class LifetimeTracker
 {
 public:
@@ -161,8 +162,8 @@
     {
     }
 
-    // Says what is wrong; empty when the record follows on.
-    std::string place(HistoryRecord &record)
+    // Returns an error text; empty when the record continues the sequence.
+    std::string assign(HistoryRecord &record)
     {
         const bool starts = std::holds_alternative<ProcessStarted>(record.event);
         if (starts) {
@@ -208,7 +209,7 @@
         }
         HistoryRecord record = TRY(parseLine(streamName, lineNumber, text.substr(0, end)));
         text.remove_prefix(end + 1);
-        if (std::string problem = tracker.place(record); !problem.empty())
+        if (std::string problem = tracker.assign(record); !problem.empty())
             return lineError(streamName, lineNumber, std::move(problem));
         history.records.push_back(std::move(record));
     }
--- a/Libraries/LibHistory/HistoryEvents.h
+++ b/Libraries/LibHistory/HistoryEvents.h
@@ -1,9 +1,10 @@
-// The catalogue of history events: what callers, gates, upstreams, nodes, publishers and the driver of a run
-// write down so that a checker can judge the run afterwards. Each event is one struct; its fields are named
-// once, in visitFields(), which both the recorder and the reader go through.
+// The history events that callers, gates, upstreams, nodes, publishers and the driver of a run record, so
+// that checkers can verify the run afterwards. Each event is one struct. Its field names stand only in
+// visitFields(), which both the recorder and the reader use.
 //
-// An event is written before the step that it names goes on. A process that is killed right after a step has
-// therefore always recorded it, and a checker may take the absence of an event for the absence of the step.
+// An event is written before the step that it describes takes effect. A process that is killed right after a
+// step has therefore recorded it, and a checker may conclude from a missing event that the step did not
+// occur.
 #pragma once
 
 #include <LibCore/EnumNames.h>
@@ -64,8 +65,8 @@
     {HistoryEventKind::FaultEnded, "fault.ended"},
 }};
 
-// Written by the recorder itself as the first event of each process, so that a reader can tell the lifetimes
-// of one process name apart.
+// Written by the recorder as the first event of each process, so that a reader can separate the runs of
+// processes with the same name.
 struct ProcessStarted
 {
     static constexpr HistoryEventKind kind = HistoryEventKind::ProcessStarted;
@@ -74,7 +75,7 @@
     static void visitFields(auto &self, auto &&visit) { visit("pid", self.pid); }
 };
 
-// Call ids are unique to one HTTP request; a caller that tries again with the same key takes a new call id.
+// A call id belongs to one HTTP request; a retry with the same idempotency key uses a new call id.
 struct CallerSent
 {
     static constexpr HistoryEventKind kind = HistoryEventKind::CallerSent;
@@ -82,10 +83,10 @@
     std::string key;  // Idempotency key; empty when there is none.
     std::string method;
     std::string target;
-    std::string callClass; // Name out of callClassNames.
+    std::string callClass; // A name from callClassNames.
     bool idempotent = false;
-    std::uint64_t deadlineMilliseconds = 0; // Zero when the call names none.
-    std::string node;                       // "ip:port" that the request goes to.
+    std::uint64_t deadlineMilliseconds = 0; // Zero when the call has none.
+    std::string node;                       // "ip:port" that the request is sent to.
     std::string body;                       // historyDigest() of the request's body.
 
     static void visitFields(auto &self, auto &&visit)
@@ -102,7 +103,7 @@
     }
 };
 
-// A whole HTTP answer arrived at the caller.
+// The caller received a complete HTTP response.
 struct CallerAnswered
 {
     static constexpr HistoryEventKind kind = HistoryEventKind::CallerAnswered;
@@ -111,7 +112,7 @@
     std::string outcome; // "done", "not-run" or "unknown", as in the header Sagecrank-Outcome.
     std::string reason;
     bool replayed = false;
-    std::string echo; // The call id that the answer itself carries (header Sagecrank-Call-Id); may be empty.
+    std::string echo; // The call id in the response (header Sagecrank-Call-Id); may be empty.
     std::string body; // historyDigest() of the body as received.
     std::uint64_t retryAfterMilliseconds = 0;
 
@@ -128,13 +129,13 @@
     }
 };
 
-// The caller gave up without an answer: its connection broke, was refused or stayed silent.
+// The caller got no response: its connection failed, was refused or timed out.
 struct CallerLost
 {
     static constexpr HistoryEventKind kind = HistoryEventKind::CallerLost;
     std::string call;
     std::string reason;
-    bool sent = true; // False only when no byte of the request left, as when a connection is refused.
+    bool sent = true; // False only when no byte of the request was sent, as when a connection is refused.
 
     static void visitFields(auto &self, auto &&visit)
     {
@@ -144,7 +145,8 @@
     }
 };
 
-// An attempt is one try to run a call at one upstream; its id is the header Sagecrank-Attempt.
+// The gate accepted an attempt, which is one try to run a call on one upstream. The header Sagecrank-Attempt
+// holds its id.
 struct GateAdmitted
 {
     static constexpr HistoryEventKind kind = HistoryEventKind::GateAdmitted;
@@ -191,7 +193,7 @@
     }
 };
 
-// The gate promises that this attempt has not run and will not.
+// The gate guarantees that this attempt has not run and never will.
 struct GateRefused
 {
     static constexpr HistoryEventKind kind = HistoryEventKind::GateRefused;
@@ -207,7 +209,7 @@
     }
 };
 
-// The upstream took the request up; a request that it sheds is not recorded as begun.
+// The upstream began to process the request; requests that it sheds are not recorded.
 struct UpstreamBegan
 {
     static constexpr HistoryEventKind kind = HistoryEventKind::UpstreamBegan;
@@ -231,7 +233,7 @@
     std::string call;
     std::string attempt;
     std::uint64_t status = 0; // Zero when it was cancelled.
-    std::string body;         // historyDigest() of the answer's body as sent.
+    std::string body;         // historyDigest() of the response body as sent.
     bool cancelled = false;   // The connection closed before the work was done.
 
     static void visitFields(auto &self, auto &&visit)
@@ -244,12 +246,12 @@
     }
 };
 
-// Written by the upstream itself when it is told to leave.
+// Written by the upstream when it is told to drain.
 struct UpstreamDraining
 {
     static constexpr HistoryEventKind kind = HistoryEventKind::UpstreamDraining;
     std::string cluster;
-    std::string upstream; // "ip:port" at which it takes requests.
+    std::string upstream; // "ip:port" at which it accepts requests.
 
     static void visitFields(auto &self, auto &&visit)
     {
@@ -258,7 +260,7 @@
     }
 };
 
-// A node chose the member whose upstream shall run the attempt.
+// A node selected the member whose upstream is to run the attempt.
 struct NodePlaced
 {
     static constexpr HistoryEventKind kind = HistoryEventKind::NodePlaced;
@@ -278,14 +280,14 @@
     }
 };
 
-// A version reached the node and was checked; only a valid one may be swapped in.
+// A node received a version and validated it; only a valid one may be applied.
 struct NodeOffered
 {
     static constexpr HistoryEventKind kind = HistoryEventKind::NodeOffered;
     std::uint64_t version = 0;
     std::string digest; // Of the site's content, in hex.
     bool valid = false;
-    std::string reason; // Why it was refused; empty when valid.
+    std::string reason; // Why it was rejected; empty when valid.
 
     static void visitFields(auto &self, auto &&visit)
     {
@@ -296,7 +298,7 @@
     }
 };
 
-// The picture that the request path reads from here on.
+// A node replaced the configuration that its request path reads.
 struct NodeSwapped
 {
     static constexpr HistoryEventKind kind = HistoryEventKind::NodeSwapped;
@@ -305,7 +307,7 @@
     std::string site;
     std::string digest;                     // Of the site's content, in hex.
     std::vector<std::string> clusters;      // Every cluster that the node now has.
-    std::vector<std::string> routeClusters; // For each route, the cluster that it points at.
+    std::vector<std::string> routeClusters; // For each route, its target cluster.
 
     static void visitFields(auto &self, auto &&visit)
     {
@@ -318,14 +320,14 @@
     }
 };
 
-// What a node now believes of one member, written at each change.
+// A node's view of a member, written at each change.
 struct NodeMember
 {
     static constexpr HistoryEventKind kind = HistoryEventKind::NodeMember;
     std::string member;
     std::uint64_t incarnation = 0;
-    std::string state;    // Name out of memberStateNames.
-    std::string upstream; // Name out of upstreamStateNames.
+    std::string state;    // A name from memberStateNames.
+    std::string upstream; // A name from upstreamStateNames.
     std::string cluster;
 
     static void visitFields(auto &self, auto &&visit)
@@ -338,7 +340,7 @@
     }
 };
 
-// Written once the head row is known to have moved.
+// Written once the head row is known to be updated.
 struct PublishAccepted
 {
     static constexpr HistoryEventKind kind = HistoryEventKind::PublishAccepted;
@@ -355,9 +357,9 @@
 struct PublishRefused
 {
     static constexpr HistoryEventKind kind = HistoryEventKind::PublishRefused;
-    std::uint64_t version = 0; // That it tried to publish.
+    std::uint64_t version = 0; // The version that was to be published.
     std::string publish;
-    std::string winner; // Publish id that holds the version; empty when it was refused for another reason.
+    std::string winner; // Publish id that took the version; empty when refused for another reason.
 
     static void visitFields(auto &self, auto &&visit)
     {
@@ -367,15 +369,15 @@
     }
 };
 
-// The four below are written by the driver of a run, which alone knows them.
+// This event and all below are written by the driver of a run, the only process that knows these facts.
 struct ProcessLaunched
 {
     static constexpr HistoryEventKind kind = HistoryEventKind::ProcessLaunched;
     std::string target;  // Process name.
-    std::string role;    // "node", "upstream", "caller", "platform", "relay", or "address" for one that only
-                         // names a further address of a node.
-    std::string address; // "ip:port" at which a node takes callers' requests; otherwise may be empty.
-    std::string node;    // The node that an upstream stands beside; otherwise empty.
+    std::string role;    // "node", "upstream", "caller", "platform", "relay", or "address", which
+                         // only adds another address of a node.
+    std::string address; // "ip:port" at which a node accepts callers' requests; may be empty for other roles.
+    std::string node;    // The node that an upstream belongs to; empty for other roles.
 
     static void visitFields(auto &self, auto &&visit)
     {
@@ -390,7 +392,7 @@
 {
     static constexpr HistoryEventKind kind = HistoryEventKind::ProcessExited;
     std::string target;
-    std::int64_t status = 0; // Negative for the signal that ended it.
+    std::int64_t status = 0; // Exit status, or the negated number of the signal that killed it.
 
     static void visitFields(auto &self, auto &&visit)
     {
@@ -399,11 +401,11 @@
     }
 };
 
-// The fault that stands for a node's own orderly leaving, from SIGTERM until the next one is up in its place.
-// It excuses only calls that the node did not take.
+// The fault name for a node's graceful shutdown, from SIGTERM until its successor is up. It explains only the
+// loss of calls whose request was never sent.
 inline constexpr std::string_view leavingFault = "leaving";
 
-// The driver disturbs the target from here on.
+// The driver began to inject a fault into the target.
 struct FaultBegan
 {
     static constexpr HistoryEventKind kind = HistoryEventKind::FaultBegan;
--- a/Libraries/LibHistory/HistoryRecorder.cpp
+++ b/Libraries/LibHistory/HistoryRecorder.cpp
@@ -1,3 +1,4 @@
+// Formats history events as JSON lines and writes them to the sink.
 #include <LibHistory/HistoryRecorder.h>
 
 #include <xxhash.h>
@@ -32,14 +33,14 @@
 void appendString(std::string &out, std::string_view text)
 {
     constexpr unsigned char firstPrintable = 0x20;
-    constexpr unsigned char firstOutsideAscii = 0x7f;
+    constexpr unsigned char firstEscapedHighByte = 0x7f;
     out += '"';
     for (const char character : text) {
         const auto byte = static_cast<unsigned char>(character);
         if (character == '"' || character == '\\') {
             out += '\\';
             out += character;
-        } else if (byte < firstPrintable || byte >= firstOutsideAscii) {
+        } else if (byte < firstPrintable || byte >= firstEscapedHighByte) {
             appendEscapedByte(out, byte);
         } else {
             out += character;
@@ -120,7 +121,7 @@
             if (written < 0 && errno == EINTR)
                 continue;
             if (written <= 0)
-                return; // The sequence shows the reader that a line is missing.
+                return; // The reader detects the lost line by the gap in the sequence.
             line.remove_prefix(std::size_t(written));
         }
     };
@@ -139,9 +140,9 @@
 std::string formatHistoryLine(std::uint64_t nanoseconds, std::string_view process, std::uint64_t sequence,
                               const HistoryEvent &event)
 {
-    constexpr std::size_t usualLength = 256;
+    constexpr std::size_t typicalLength = 256;
     std::string line;
-    line.reserve(usualLength);
+    line.reserve(typicalLength);
     line += "{\"t\":";
     appendNumber(line, nanoseconds);
     line += ",\"p\":";
--- a/Libraries/LibHistory/HistoryRecorder.h
+++ b/Libraries/LibHistory/HistoryRecorder.h
@@ -1,7 +1,7 @@
-// Writes history events, one JSON object on a line:
+// Records history events, one JSON object per line:
 //   {"t":<CLOCK_MONOTONIC ns>,"p":"<process>","n":<sequence>,"e":"<event>",<fields>}
-// All processes of a run share one machine and therefore one clock. The sequence counts from 1 without gaps
-// in each process, so that a reader notices a line that was lost.
+// All processes of a run share one host and therefore one clock. The sequence numbers of a process start at 1
+// and have no gaps, so that a reader detects lost lines.
 #pragma once
 
 #include <LibHistory/HistoryEvents.h>
@@ -16,23 +16,23 @@
 
 namespace Sagecrank {
 
-// Takes one whole line, newline included.
+// Receives one complete line, including the newline.
 using HistorySink = std::function<void(std::string_view line)>;
 
-// One write(2) on standard output for each line, so that lines of several threads never mix and nothing
-// recorded is lost with the process.
+// Writes each line to standard output with one write(2), so that lines of several threads never interleave
+// and no recorded line is lost when the process is killed.
 HistorySink standardOutputHistorySink();
 
-// The digest under which request and answer bodies stand in the history, in hex.
+// Returns the digest, in hex, that stands for a request or response body in the history.
 std::string historyDigest(std::string_view body);
 
-// Formats one line without the newline. Bytes outside ASCII become \u00XX, one for each byte, since ids and
-// keys come from outside and need not be UTF-8; the reader turns them back.
+// Formats one line without the newline. Ids and keys come from clients and need not be UTF-8, so each byte
+// outside ASCII is written as \u00XX; the reader restores it.
 std::string formatHistoryLine(std::uint64_t nanoseconds, std::string_view process, std::uint64_t sequence,
                               const HistoryEvent &event);
 
-// Safe to use from every thread. When it is disabled, record() costs one branch as long as the event is
-// passed as a function that makes it.
+// Thread-safe. When it is disabled, record() costs one branch if the event is passed as a function that
+// creates it.
 class HistoryRecorder
 {
 public:
@@ -65,8 +65,8 @@
     const std::string processName;
     const bool isEnabled;
     const HistorySink sink;
-    std::mutex lock;            // Held over time, sequence and sink, so lines stand in the order of both.
-    std::uint64_t sequence = 0; // Of the last line.
+    std::mutex lock; // Covers clock, sequence and sink, so that lines are ordered by time and sequence.
+    std::uint64_t sequence = 0; // Number of the last line.
 };
 
 } // namespace Sagecrank
