--- a/Utilities/Check/Main.cpp
+++ b/Utilities/Check/Main.cpp
@@ -1,6 +1,6 @@
-// sagecrank-check: reads the histories of one run and judges each promise that must always hold.
-// Exit codes: 0 every judged promise holds, 1 one is broken or had nothing to judge, 2 wrong usage,
-// 3 a history cannot be read.
+// sagecrank-check: reads the histories of one run and checks the invariants of the mesh.
+// Exit codes: 0 every checked invariant holds, 1 an invariant is violated or had no events to check, 2 wrong
+// usage, 3 a history cannot be read.
 #include "Report.h"
 
 #include <LibCommandLine/CommandLine.h>
@@ -17,13 +17,13 @@
 
 namespace {
 
-constexpr int exitBroken = 1;
+constexpr int exitViolated = 1;
 constexpr int exitUnreadable = 3;
 
 struct Settings
 {
     std::vector<std::string> files;
-    std::string points = "all";
+    std::string invariants = "all";
     std::int64_t drainMilliseconds = 3000;
     std::int64_t convergenceMilliseconds = 7000;
     std::size_t shownViolations = 5;
@@ -34,7 +34,7 @@
 {
     options::options_description description("sagecrank-check FILES...: judges the histories of one run");
     auto add = description.add_options();
-    add("points", options::value(&settings.points)->default_value(settings.points),
+    add("points", options::value(&settings.invariants)->default_value(settings.invariants),
         "names of the promises to judge, with commas, or \"all\"");
     add("drain-ms", options::value(&settings.drainMilliseconds)->default_value(settings.drainMilliseconds),
         "how long a leaving upstream may still get work");
@@ -48,29 +48,29 @@
     return description;
 }
 
-std::optional<std::vector<Invariant>> pointsFromText(const std::string &text)
+std::optional<std::vector<Invariant>> parseInvariants(const std::string &text)
 {
-    std::vector<Invariant> points;
+    std::vector<Invariant> invariants;
     if (text == "all") {
-        for (const auto &[point, name] : invariantNames.rows)
-            points.push_back(point);
-        return points;
+        for (const auto &[invariant, name] : invariantNames.rows)
+            invariants.push_back(invariant);
+        return invariants;
     }
     std::istringstream names(text);
     for (std::string name; std::getline(names, name, ',');) {
-        const std::optional<Invariant> point = invariantNames.value(name);
-        if (!point) {
+        const std::optional<Invariant> invariant = invariantNames.value(name);
+        if (!invariant) {
             std::cerr << "there is no promise named " << name << "; there are:\n";
-            for (const auto &[each, eachName] : invariantNames.rows)
-                std::cerr << "  " << eachName << "\n";
+            for (const auto &[known, knownName] : invariantNames.rows)
+                std::cerr << "  " << knownName << "\n";
             return std::nullopt;
         }
-        points.push_back(*point);
+        invariants.push_back(*invariant);
     }
-    return points;
+    return invariants;
 }
 
-int judge(const Settings &settings, const std::vector<Invariant> &points)
+int checkHistories(const Settings &settings, const std::vector<Invariant> &invariants)
 {
     const Result<History> history = readHistoryFiles(settings.files);
     if (!history) {
@@ -80,17 +80,17 @@
     CheckLimits limits;
     limits.drain = Milliseconds(settings.drainMilliseconds);
     limits.convergence = Milliseconds(settings.convergenceMilliseconds);
-    std::vector<CheckResult> verdicts;
+    std::vector<CheckResult> results;
     bool allHold = true;
-    for (const Invariant point : points) {
-        verdicts.push_back(checkInvariant(point, history.value(), limits));
-        allHold = allHold && verdicts.back().holds();
+    for (const Invariant invariant : invariants) {
+        results.push_back(checkInvariant(invariant, history.value(), limits));
+        allHold = allHold && results.back().holds();
     }
     if (settings.json)
-        printJson(std::cout, history.value(), verdicts);
+        printJson(std::cout, history.value(), results);
     else
-        printTable(std::cout, history.value(), verdicts, settings.shownViolations);
-    return allHold ? 0 : exitBroken;
+        printTable(std::cout, history.value(), results, settings.shownViolations);
+    return allHold ? 0 : exitViolated;
 }
 
 } // namespace
@@ -104,10 +104,10 @@
     const options::options_description description = describe(settings);
     if (const auto exitCode = readCommandLine(CommandLine{"", description, files}, count, arguments, values))
         return *exitCode;
-    const auto points = pointsFromText(settings.points);
-    if (settings.files.empty() || !points) {
+    const auto invariants = parseInvariants(settings.invariants);
+    if (settings.files.empty() || !invariants) {
         std::cerr << description;
         return exitUsage;
     }
-    return judge(settings, *points);
+    return checkHistories(settings, *invariants);
 }
--- a/Utilities/Check/Report.cpp
+++ b/Utilities/Check/Report.cpp
@@ -1,3 +1,4 @@
+// Formats the results of the checkers as a table and as JSON.
 #include "Report.h"
 
 #include <boost/json.hpp>
@@ -14,26 +15,27 @@
 constexpr int nameWidth = 24;
 constexpr int numberWidth = 9;
 
-std::string_view resultText(const CheckResult &verdict)
+std::string_view statusText(const CheckResult &result)
 {
-    if (!verdict.violations.empty())
+    if (!result.violations.empty())
         return "BROKEN";
-    return verdict.vacuous() ? "VACUOUS" : "holds";
+    return result.vacuous() ? "VACUOUS" : "holds";
 }
 
-std::uint64_t originOf(const History &history)
+std::uint64_t startTime(const History &history)
 {
     return history.records.empty() ? 0 : history.records.front().time;
 }
 
-void printViolations(std::ostream &out, const History &history, const CheckResult &verdict, std::size_t shown)
+void printViolations(std::ostream &out, const History &history, const CheckResult &result,
+                     std::size_t maximumShown)
 {
-    for (const Violation &violation : verdict.violations) {
-        if (shown-- == 0)
+    for (const Violation &violation : result.violations) {
+        if (maximumShown-- == 0)
             break;
-        out << "\n" << invariantNames.name(verdict.invariant) << ": " << violation.text << "\n";
+        out << "\n" << invariantNames.name(result.invariant) << ": " << violation.text << "\n";
         for (const HistoryRecord *record : violation.evidence)
-            out << "    " << describeRecord(*record, originOf(history)) << "\n";
+            out << "    " << describeRecord(*record, startTime(history)) << "\n";
     }
 }
 
@@ -62,38 +64,38 @@
 
 } // namespace
 
-void printTable(std::ostream &out, const History &history, const std::vector<CheckResult> &verdicts,
+void printTable(std::ostream &out, const History &history, const std::vector<CheckResult> &results,
                 std::size_t shownViolations)
 {
     out << std::left << std::setw(nameWidth) << "promise" << std::right << std::setw(numberWidth) << "judged"
         << std::setw(numberWidth) << "broken"
         << "  result\n";
-    for (const CheckResult &verdict : verdicts) {
-        out << std::left << std::setw(nameWidth) << invariantNames.name(verdict.invariant) << std::right
-            << std::setw(numberWidth) << verdict.eventsChecked << std::setw(numberWidth)
-            << verdict.violations.size() << "  " << resultText(verdict);
-        if (!verdict.note.empty())
-            out << " (" << verdict.note << ")";
+    for (const CheckResult &result : results) {
+        out << std::left << std::setw(nameWidth) << invariantNames.name(result.invariant) << std::right
+            << std::setw(numberWidth) << result.eventsChecked << std::setw(numberWidth)
+            << result.violations.size() << "  " << statusText(result);
+        if (!result.note.empty())
+            out << " (" << result.note << ")";
         out << "\n";
     }
     out << history.records.size() << " events of " << history.lifetimes << " processes, "
         << history.truncatedLines << " unfinished last lines\n";
     printTotals(out, countCalls(history));
-    for (const CheckResult &verdict : verdicts)
-        printViolations(out, history, verdict, shownViolations);
+    for (const CheckResult &result : results)
+        printViolations(out, history, result, shownViolations);
 }
 
-void printJson(std::ostream &out, const History &history, const std::vector<CheckResult> &verdicts)
+void printJson(std::ostream &out, const History &history, const std::vector<CheckResult> &results)
 {
     json::array rows;
-    for (const CheckResult &verdict : verdicts) {
+    for (const CheckResult &result : results) {
         json::array violations;
-        for (const Violation &violation : verdict.violations)
+        for (const Violation &violation : result.violations)
             violations.emplace_back(violation.text);
-        rows.push_back(json::object{{"promise", invariantNames.name(verdict.invariant)},
-                                    {"judged", verdict.eventsChecked},
-                                    {"result", resultText(verdict)},
-                                    {"note", verdict.note},
+        rows.push_back(json::object{{"promise", invariantNames.name(result.invariant)},
+                                    {"judged", result.eventsChecked},
+                                    {"result", statusText(result)},
+                                    {"note", result.note},
                                     {"violations", std::move(violations)}});
     }
     out << json::serialize(json::object{{"events", history.records.size()},
--- a/Utilities/Check/Report.h
+++ b/Utilities/Check/Report.h
@@ -1,4 +1,4 @@
-// Prints verdicts over a history, as a table for people or as JSON for scripts.
+// Prints the results of the checkers, as a readable table or as JSON for scripts.
 #pragma once
 
 #include <LibHistory/Checkers.h>
@@ -9,10 +9,10 @@
 
 namespace Sagecrank {
 
-// Prints at most `shownViolations` of each promise, each with its events.
-void printTable(std::ostream &out, const History &history, const std::vector<CheckResult> &verdicts,
+// Prints at most `shownViolations` violations of each invariant, each with its events.
+void printTable(std::ostream &out, const History &history, const std::vector<CheckResult> &results,
                 std::size_t shownViolations);
 
-void printJson(std::ostream &out, const History &history, const std::vector<CheckResult> &verdicts);
+void printJson(std::ostream &out, const History &history, const std::vector<CheckResult> &results);
 
 } // namespace Sagecrank
