--- a/Utilities/Caller/Main.cpp
+++ b/Utilities/Caller/Main.cpp
@@ -1,7 +1,7 @@
 // sagecrank-caller: many visitors that book and look up through running nodes, for proof runs. It writes
 // history events to standard output and ends by itself once every call is answered or lost.
 // Exit codes: 0 ended, 2 wrong usage.
-#include "Visitor.h"
+#include "SimulatedCaller.h"
 
 #include <LibCommandLine/CommandLine.h>
 
@@ -16,7 +16,7 @@
 
 struct Settings
 {
-    VisitorSettings visitor;
+    SimulatedCallerSettings visitor;
     std::uint32_t visitors = 16;
     double seconds = 10;
     std::uint64_t seed = 1;
@@ -27,7 +27,7 @@
 options::options_description describe(Settings &settings)
 {
     options::options_description description("sagecrank-caller: visitors that book and look up");
-    VisitorSettings &visitor = settings.visitor;
+    SimulatedCallerSettings &visitor = settings.visitor;
     auto add = description.add_options();
     add("node", options::value(&visitor.nodes)->required(),
         "a node's address for callers; given once for each");
@@ -61,7 +61,8 @@
         SteadyClock::now()
         + std::chrono::duration_cast<Duration>(std::chrono::duration<double>(settings.seconds));
     for (std::uint32_t number = 0; number < settings.visitors; ++number) {
-        std::make_shared<Visitor>(context, client, history, settings.visitor, number, settings.seed + number)
+        std::make_shared<SimulatedCaller>(context, client, history, settings.visitor, number,
+                                          settings.seed + number)
             ->start(end);
     }
     context.run();
--- a/Utilities/Caller/Visitor.cpp
+++ b/Utilities/Caller/SimulatedCaller.cpp
@@ -1,4 +1,4 @@
-#include "Visitor.h"
+#include "SimulatedCaller.h"
 
 #include <algorithm>
 #include <charconv>
@@ -34,8 +34,9 @@
 
 } // namespace
 
-Visitor::Visitor(boost::asio::io_context &context, HttpClient &client, HistoryRecorder &history,
-                 const VisitorSettings &settings, std::uint32_t number, std::uint64_t seed)
+SimulatedCaller::SimulatedCaller(boost::asio::io_context &context, HttpClient &client,
+                                 HistoryRecorder &history, const SimulatedCallerSettings &settings,
+                                 std::uint32_t number, std::uint64_t seed)
     : timer(context)
     , client(client)
     , history(history)
@@ -45,24 +46,24 @@
 {
 }
 
-void Visitor::start(Instant end)
+void SimulatedCaller::start(Instant end)
 {
     this->end = end;
     this->pause(Milliseconds(this->random() % (this->settings.longestPause.count() + 1)),
-                &Visitor::nextErrand);
+                &SimulatedCaller::nextErrand);
 }
 
-bool Visitor::draw(double share)
+bool SimulatedCaller::draw(double share)
 {
     return std::uniform_real_distribution<double>(0, 1)(this->random) < share;
 }
 
-const std::string &Visitor::drawOne(const std::vector<std::string> &choices)
+const std::string &SimulatedCaller::drawOne(const std::vector<std::string> &choices)
 {
     return choices[this->random() % choices.size()];
 }
 
-void Visitor::pause(Duration time, void (Visitor::*then)())
+void SimulatedCaller::pause(Duration time, void (SimulatedCaller::*then)())
 {
     this->timer.expires_after(time);
     this->timer.async_wait([self = this->shared_from_this(), then](const boost::system::error_code &error) {
@@ -71,7 +72,7 @@
     });
 }
 
-void Visitor::nextErrand()
+void SimulatedCaller::nextErrand()
 {
     if (SteadyClock::now() >= this->end)
         return;
@@ -98,7 +99,7 @@
         this->send();
 }
 
-void Visitor::send()
+void SimulatedCaller::send()
 {
     ++this->errand.sendings;
     const std::string call = this->prefix + "." + std::to_string(++this->calls);
@@ -136,19 +137,19 @@
         });
 }
 
-void Visitor::closed(bool settled, Duration comeBack)
+void SimulatedCaller::closed(bool settled, Duration comeBack)
 {
     this->errandSettled = this->errandSettled || settled;
     this->waitBeforeAgain = std::max(this->waitBeforeAgain, std::min(comeBack, longestWait));
     if (--this->openCalls > 0)
         return;
     if (this->wantsAgain())
-        return this->pause(this->waitBeforeAgain, &Visitor::sendAgain);
+        return this->pause(this->waitBeforeAgain, &SimulatedCaller::sendAgain);
     this->pause(Milliseconds(this->random() % (this->settings.longestPause.count() + 1)),
-                &Visitor::nextErrand);
+                &SimulatedCaller::nextErrand);
 }
 
-bool Visitor::wantsAgain()
+bool SimulatedCaller::wantsAgain()
 {
     if (this->errand.key.empty() || this->errand.sendings >= maximumSendings
         || SteadyClock::now() >= this->end)
@@ -156,7 +157,7 @@
     return !this->errandSettled || this->draw(this->settings.repeatShare);
 }
 
-void Visitor::sendAgain()
+void SimulatedCaller::sendAgain()
 {
     this->openCalls = 1;
     this->send();
--- a/Utilities/Caller/Visitor.h
+++ b/Utilities/Caller/SimulatedCaller.h
@@ -18,7 +18,7 @@
 
 namespace Sagecrank {
 
-struct VisitorSettings
+struct SimulatedCallerSettings
 {
     std::vector<std::string> nodes; // "ip:port" of callers' ports.
     std::string name;
@@ -46,18 +46,18 @@
     std::uint32_t sendings = 0;
 };
 
-class Visitor : public std::enable_shared_from_this<Visitor>
+class SimulatedCaller : public std::enable_shared_from_this<SimulatedCaller>
 {
 public:
-    Visitor(boost::asio::io_context &context, HttpClient &client, HistoryRecorder &history,
-            const VisitorSettings &settings, std::uint32_t number, std::uint64_t seed);
+    SimulatedCaller(boost::asio::io_context &context, HttpClient &client, HistoryRecorder &history,
+                    const SimulatedCallerSettings &settings, std::uint32_t number, std::uint64_t seed);
 
     // Goes on with one errand after the other until `end`, and finishes the one under way.
     void start(Instant end);
 
 private:
     void nextErrand();
-    void pause(Duration time, void (Visitor::*then)());
+    void pause(Duration time, void (SimulatedCaller::*then)());
     void send();
     void closed(bool settled, Duration comeBack);
     bool wantsAgain();
@@ -68,7 +68,7 @@
     boost::asio::steady_timer timer;
     HttpClient &client;
     HistoryRecorder &history;
-    const VisitorSettings &settings;
+    const SimulatedCallerSettings &settings;
     const std::string prefix; // Of this visitor's call ids and keys.
     std::mt19937_64 random;
     Instant end;
