--- a/Utilities/Caller/SimulatedCaller.cpp
+++ b/Utilities/Caller/SimulatedCaller.cpp
@@ -1,3 +1,4 @@
+// Sends the operations of a simulated caller and records their calls.
 #include "SimulatedCaller.h"
 
 #include <algorithm>
@@ -8,10 +9,10 @@
 
 namespace {
 
-constexpr std::uint32_t maximumSendings = 5; // Of one key; a person gives up some time.
-constexpr Duration longestWait = Milliseconds(500);
+constexpr std::uint32_t maximumSendCount = 5; // Of one key; people give up after some retries.
+constexpr Duration maximumRetryDelay = Milliseconds(500);
 
-std::uint64_t numberFromText(std::string_view text)
+std::uint64_t parseNumber(std::string_view text)
 {
     std::uint64_t number = 0;
     std::from_chars(text.data(), text.data() + text.size(), number);
@@ -27,7 +28,7 @@
     event.reason = findHeader(response.headers, "Sagecrank-Reason");
     event.replayed = findHeader(response.headers, "Sagecrank-Replayed") == "true";
     event.body = historyDigest(response.body);
-    event.retryAfterMilliseconds = numberFromText(findHeader(response.headers, "Sagecrank-Retry-After-Ms"));
+    event.retryAfterMilliseconds = parseNumber(findHeader(response.headers, "Sagecrank-Retry-After-Ms"));
     event.echo = findHeader(response.headers, "Sagecrank-Call-Id");
     return event;
 }
@@ -49,16 +50,16 @@
 void SimulatedCaller::start(Instant end)
 {
     this->end = end;
-    this->pause(Milliseconds(this->random() % (this->settings.longestPause.count() + 1)),
-                &SimulatedCaller::nextErrand);
+    this->pause(Milliseconds(this->random() % (this->settings.maximumPause.count() + 1)),
+                &SimulatedCaller::startNextOperation);
 }
 
-bool SimulatedCaller::draw(double share)
+bool SimulatedCaller::drawWithProbability(double probability)
 {
-    return std::uniform_real_distribution<double>(0, 1)(this->random) < share;
+    return std::uniform_real_distribution<double>(0, 1)(this->random) < probability;
 }
 
-const std::string &SimulatedCaller::drawOne(const std::vector<std::string> &choices)
+const std::string &SimulatedCaller::pickRandom(const std::vector<std::string> &choices)
 {
     return choices[this->random() % choices.size()];
 }
@@ -72,28 +73,29 @@
     });
 }
 
-void SimulatedCaller::nextErrand()
+void SimulatedCaller::startNextOperation()
 {
     if (SteadyClock::now() >= this->end)
         return;
-    const std::string id = this->prefix + "-" + std::to_string(++this->errands);
+    const std::string id = this->prefix + "-" + std::to_string(++this->operationCount);
     const double kind = std::uniform_real_distribution<double>(0, 1)(this->random);
-    this->errand = Booking{};
+    this->operation = Operation{};
     if (kind < this->settings.keyedShare + this->settings.keylessShare) {
-        this->errand.method = "POST";
-        this->errand.target = this->drawOne(this->settings.bookTargets);
-        this->errand.body = "tour for " + id;
+        this->operation.method = "POST";
+        this->operation.target = this->pickRandom(this->settings.bookingTargets);
+        this->operation.body = "tour for " + id;
         if (kind < this->settings.keyedShare)
-            this->errand.key = "key-" + id;
+            this->operation.key = "key-" + id;
     } else {
-        this->errand.method = "GET";
-        this->errand.target = this->drawOne(this->settings.lookupTargets);
-        this->errand.idempotent = true;
+        this->operation.method = "GET";
+        this->operation.target = this->pickRandom(this->settings.lookupTargets);
+        this->operation.idempotent = true;
     }
-    this->errandSettled = false;
-    this->waitBeforeAgain = Duration::zero();
-    const bool twice = !this->errand.key.empty() && this->draw(this->settings.doubleShare);
-    this->openCalls = twice ? 2 : 1;
+    this->operationDone = false;
+    this->retryDelay = Duration::zero();
+    const bool twice =
+        !this->operation.key.empty() && this->drawWithProbability(this->settings.duplicateShare);
+    this->callsInFlight = twice ? 2 : 1;
     this->send();
     if (twice)
         this->send();
@@ -101,65 +103,66 @@
 
 void SimulatedCaller::send()
 {
-    ++this->errand.sendings;
-    const std::string call = this->prefix + "." + std::to_string(++this->calls);
-    const std::string &node = this->drawOne(this->settings.nodes);
+    ++this->operation.sendCount;
+    const std::string call = this->prefix + "." + std::to_string(++this->callCount);
+    const std::string &node = this->pickRandom(this->settings.nodes);
     CallerSent sent;
     sent.call = call;
-    sent.key = this->errand.key;
-    sent.method = this->errand.method;
-    sent.target = this->errand.target;
-    sent.callClass = this->errand.idempotent ? "interactive" : "non_idempotent";
-    sent.idempotent = this->errand.idempotent;
+    sent.key = this->operation.key;
+    sent.method = this->operation.method;
+    sent.target = this->operation.target;
+    sent.callClass = this->operation.idempotent ? "interactive" : "non_idempotent";
+    sent.idempotent = this->operation.idempotent;
     sent.node = node;
-    sent.body = historyDigest(this->errand.body);
-    HttpRequest request{this->errand.method, this->errand.target, {}, this->errand.body};
+    sent.body = historyDigest(this->operation.body);
+    HttpRequest request{this->operation.method, this->operation.target, {}, this->operation.body};
     request.headers.push_back({"Host", node});
     request.headers.push_back({"Sagecrank-Call-Id", call});
-    if (!this->errand.key.empty())
-        request.headers.push_back({"Idempotency-Key", this->errand.key});
-    // Every call names its time, so that a checker can tell a call that ran out of it from one that was cut.
-    const bool hurried = this->draw(this->settings.deadlineShare);
-    const Milliseconds deadline = hurried ? this->settings.deadline : this->settings.longDeadline;
+    if (!this->operation.key.empty())
+        request.headers.push_back({"Idempotency-Key", this->operation.key});
+    // Every call has a deadline, so that a checker can tell a call that timed out from one that was aborted.
+    const bool hasShortDeadline = this->drawWithProbability(this->settings.shortDeadlineShare);
+    const Milliseconds deadline =
+        hasShortDeadline ? this->settings.shortDeadline : this->settings.longDeadline;
     sent.deadlineMilliseconds = std::uint64_t(deadline.count());
     request.headers.push_back({"Sagecrank-Deadline-Ms", std::to_string(sent.deadlineMilliseconds)});
     this->history.record(std::move(sent));
     this->client.send(
-        node, std::move(request), this->settings.patience,
+        node, std::move(request), this->settings.responseTimeout,
         [self = this->shared_from_this(), call](const HttpFailure *failure, const HttpResponse &response) {
             if (failure != nullptr) {
                 self->history.record(CallerLost{call, failure->error.describe(), failure->mayHaveBeenSent});
-                return self->closed(false, Duration::zero());
+                return self->callEnded(false, Duration::zero());
             }
             const CallerAnswered answered = answeredEvent(call, response);
             self->history.record(answered);
-            self->closed(answered.outcome == "done", Milliseconds(answered.retryAfterMilliseconds));
+            self->callEnded(answered.outcome == "done", Milliseconds(answered.retryAfterMilliseconds));
         });
 }
 
-void SimulatedCaller::closed(bool settled, Duration comeBack)
+void SimulatedCaller::callEnded(bool done, Duration retryAfter)
 {
-    this->errandSettled = this->errandSettled || settled;
-    this->waitBeforeAgain = std::max(this->waitBeforeAgain, std::min(comeBack, longestWait));
-    if (--this->openCalls > 0)
+    this->operationDone = this->operationDone || done;
+    this->retryDelay = std::max(this->retryDelay, std::min(retryAfter, maximumRetryDelay));
+    if (--this->callsInFlight > 0)
         return;
-    if (this->wantsAgain())
-        return this->pause(this->waitBeforeAgain, &SimulatedCaller::sendAgain);
-    this->pause(Milliseconds(this->random() % (this->settings.longestPause.count() + 1)),
-                &SimulatedCaller::nextErrand);
+    if (this->shouldSendAgain())
+        return this->pause(this->retryDelay, &SimulatedCaller::sendAgain);
+    this->pause(Milliseconds(this->random() % (this->settings.maximumPause.count() + 1)),
+                &SimulatedCaller::startNextOperation);
 }
 
-bool SimulatedCaller::wantsAgain()
+bool SimulatedCaller::shouldSendAgain()
 {
-    if (this->errand.key.empty() || this->errand.sendings >= maximumSendings
+    if (this->operation.key.empty() || this->operation.sendCount >= maximumSendCount
         || SteadyClock::now() >= this->end)
         return false;
-    return !this->errandSettled || this->draw(this->settings.repeatShare);
+    return !this->operationDone || this->drawWithProbability(this->settings.resendShare);
 }
 
 void SimulatedCaller::sendAgain()
 {
-    this->openCalls = 1;
+    this->callsInFlight = 1;
     this->send();
 }
 
--- a/Utilities/Caller/SimulatedCaller.h
+++ b/Utilities/Caller/SimulatedCaller.h
@@ -1,6 +1,6 @@
-// One caller after the other as people and their apps behave: a lookup, a booking without a key, or a booking
-// with a key that is sent again through another node until it is known to be done, and now and then sent
-// twice at once. Everything it does and sees goes into the history.
+// Simulates a caller that runs one operation after the other: a lookup, a booking without an idempotency key,
+// or a booking with a key. A keyed booking is retried through random nodes until it is known to be done, and
+// is sometimes sent twice at once. Every request and response is recorded in the history.
 #pragma once
 
 #include <LibCore/Time.h>
@@ -20,30 +20,29 @@
 
 struct SimulatedCallerSettings
 {
-    std::vector<std::string> nodes; // "ip:port" of callers' ports.
+    std::vector<std::string> nodes; // "ip:port" of the ports for callers.
     std::string name;
     double keyedShare = 0.5;
-    double keylessShare = 0.1; // Bookings without a key; the rest are lookups.
-    double doubleShare = 0.1;  // Of keyed bookings: sent twice at the same moment.
-    double repeatShare =
-        0.1; // Of keyed bookings that are done: sent once more, as by a person who came back.
-    double deadlineShare = 0.3; // Of calls: have the shorter of the two deadlines.
-    Milliseconds deadline{400};
+    double keylessShare = 0.1;       // Bookings without a key; the rest are lookups.
+    double duplicateShare = 0.1;     // Of keyed bookings: sent twice at once.
+    double resendShare = 0.1;        // Of done keyed bookings: sent again, like a user who returns.
+    double shortDeadlineShare = 0.3; // Of calls: have the short deadline.
+    Milliseconds shortDeadline{400};
     Milliseconds longDeadline{2000};
-    Milliseconds patience{10000};           // Without any answer for so long, a call is given up as lost.
-    Milliseconds longestPause{20};          // Between two errands of one visitor.
-    std::vector<std::string> bookTargets;   // One is drawn for each booking; never empty.
-    std::vector<std::string> lookupTargets; // The same for lookups.
+    Milliseconds responseTimeout{10000};     // A call without a response for this long is recorded as lost.
+    Milliseconds maximumPause{20};           // Between two operations of one caller.
+    std::vector<std::string> bookingTargets; // One is picked at random for each booking; never empty.
+    std::vector<std::string> lookupTargets;  // The same for lookups.
 };
 
-struct Booking
+struct Operation
 {
-    std::string key; // Empty for one without a key.
+    std::string key; // Empty for operations without a key.
     std::string method;
     std::string target;
     std::string body;
     bool idempotent = false;
-    std::uint32_t sendings = 0;
+    std::uint32_t sendCount = 0;
 };
 
 class SimulatedCaller : public std::enable_shared_from_this<SimulatedCaller>
@@ -52,32 +51,32 @@
     SimulatedCaller(boost::asio::io_context &context, HttpClient &client, HistoryRecorder &history,
                     const SimulatedCallerSettings &settings, std::uint32_t number, std::uint64_t seed);
 
-    // Goes on with one errand after the other until `end`, and finishes the one under way.
+    // Starts operations and decides on retries until `end`; calls that are in flight then still complete.
     void start(Instant end);
 
 private:
-    void nextErrand();
+    void startNextOperation();
     void pause(Duration time, void (SimulatedCaller::*then)());
     void send();
-    void closed(bool settled, Duration comeBack);
-    bool wantsAgain();
+    void callEnded(bool done, Duration retryAfter);
+    bool shouldSendAgain();
     void sendAgain();
-    bool draw(double share);
-    const std::string &drawOne(const std::vector<std::string> &choices);
+    bool drawWithProbability(double probability);
+    const std::string &pickRandom(const std::vector<std::string> &choices);
 
     boost::asio::steady_timer timer;
     HttpClient &client;
     HistoryRecorder &history;
     const SimulatedCallerSettings &settings;
-    const std::string prefix; // Of this visitor's call ids and keys.
+    const std::string prefix; // Of the call ids and keys of this caller.
     std::mt19937_64 random;
     Instant end;
-    Booking errand;
-    std::uint64_t errands = 0;
-    std::uint64_t calls = 0;
-    std::uint32_t openCalls = 0; // Of the errand: one, or two when it was sent twice.
-    bool errandSettled = false;
-    Duration waitBeforeAgain{};
+    Operation operation;
+    std::uint64_t operationCount = 0;
+    std::uint64_t callCount = 0;
+    std::uint32_t callsInFlight = 0; // Of the current operation: at most two, when it was sent twice.
+    bool operationDone = false;
+    Duration retryDelay{};
 };
 
 } // namespace Sagecrank
