--- a/Services/PlatformEmulator/Condition.cpp
+++ b/Services/PlatformEmulator/Condition.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-constexpr int maximumDepth = 32; // Deeper nesting is refused, so that hostile input cannot exhaust the stack.
+constexpr int maximumNestingDepth =
+    32; // Deeper nesting is refused, so that hostile input cannot exhaust the stack.
 
 int compare(const AttributeValue &left, const AttributeValue &right)
 {
@@ -22,7 +23,7 @@
     return left.text.compare(right.text);
 }
 
-bool satisfies(std::string_view relation, int order)
+bool relationHolds(std::string_view relation, int order)
 {
     if (relation == "=")
         return order == 0;
@@ -43,7 +44,7 @@
            || character == ':' || character == '.';
 }
 
-bool sameWord(std::string_view left, std::string_view right)
+bool equalsIgnoringCase(std::string_view left, std::string_view right)
 {
     if (left.size() != right.size())
         return false;
@@ -60,110 +61,110 @@
 class ConditionParser
 {
 public:
-    using Test = Condition::Test;
+    using Predicate = Condition::Predicate;
 
-    ConditionParser(std::string_view text, const ExpressionNames &names)
+    ConditionParser(std::string_view text, const ExpressionAttributes &attributes)
         : text(text)
-        , names(names)
+        , attributes(attributes)
     {
         this->advance();
     }
 
-    Result<Condition> whole()
+    Result<Condition> parse()
     {
-        Test test = TRY(this->anyOf(0));
+        Predicate predicate = TRY(this->parseOr(0));
         if (!this->token.empty())
-            return this->unexpected();
-        return Condition(std::move(test));
+            return this->unexpectedToken();
+        return Condition(std::move(predicate));
     }
 
 private:
-    Result<Test> anyOf(int depth)
+    Result<Predicate> parseOr(int depth)
     {
-        Test left = TRY(this->allOf(depth));
-        while (sameWord(this->token, "OR")) {
+        Predicate left = TRY(this->parseAnd(depth));
+        while (equalsIgnoringCase(this->token, "OR")) {
             this->advance();
-            Test right = TRY(this->allOf(depth));
+            Predicate right = TRY(this->parseAnd(depth));
             left = [left, right](const Item *item) { return left(item) || right(item); };
         }
         return left;
     }
 
-    Result<Test> allOf(int depth)
+    Result<Predicate> parseAnd(int depth)
     {
-        Test left = TRY(this->predicate(depth));
-        while (sameWord(this->token, "AND")) {
+        Predicate left = TRY(this->parsePredicate(depth));
+        while (equalsIgnoringCase(this->token, "AND")) {
             this->advance();
-            Test right = TRY(this->predicate(depth));
+            Predicate right = TRY(this->parsePredicate(depth));
             left = [left, right](const Item *item) { return left(item) && right(item); };
         }
         return left;
     }
 
-    Result<Test> predicate(int depth)
+    Result<Predicate> parsePredicate(int depth)
     {
-        if (depth > maximumDepth)
-            return this->unexpected();
-        if (sameWord(this->token, "NOT")) {
+        if (depth > maximumNestingDepth)
+            return this->unexpectedToken();
+        if (equalsIgnoringCase(this->token, "NOT")) {
             this->advance();
-            Test inner = TRY(this->predicate(depth + 1));
-            return Test([inner](const Item *item) { return !inner(item); });
+            Predicate inner = TRY(this->parsePredicate(depth + 1));
+            return Predicate([inner](const Item *item) { return !inner(item); });
         }
         if (this->token == "(") {
             this->advance();
-            Test inner = TRY(this->anyOf(depth + 1));
+            Predicate inner = TRY(this->parseOr(depth + 1));
             TRY_VOID(this->expect(")"));
             return inner;
         }
         if (this->token == "attribute_exists" || this->token == "attribute_not_exists")
-            return this->existence();
-        return this->comparison();
+            return this->parseExistence();
+        return this->parseComparison();
     }
 
-    Result<Test> existence()
+    Result<Predicate> parseExistence()
     {
         const bool wanted = this->token == "attribute_exists";
         this->advance();
         TRY_VOID(this->expect("("));
-        std::string name = TRY(this->attributeName());
+        std::string name = TRY(this->parseAttributeName());
         TRY_VOID(this->expect(")"));
-        return Test([wanted, name = std::move(name)](const Item *item) {
+        return Predicate([wanted, name = std::move(name)](const Item *item) {
             const bool exists = item != nullptr && item->find(name) != item->end();
             return exists == wanted;
         });
     }
 
-    Result<Test> comparison()
+    Result<Predicate> parseComparison()
     {
-        std::string name = TRY(this->attributeName());
+        std::string name = TRY(this->parseAttributeName());
         const std::string relation(this->token);
         if (relation != "=" && relation != "<>" && relation != "<" && relation != "<=" && relation != ">"
             && relation != ">=")
-            return this->unexpected();
+            return this->unexpectedToken();
         this->advance();
-        const auto found = this->names.values.find(this->token);
-        if (found == this->names.values.end())
-            return this->unexpected();
+        const auto found = this->attributes.values.find(this->token);
+        if (found == this->attributes.values.end())
+            return this->unexpectedToken();
         this->advance();
-        return Test([name = std::move(name), relation, value = found->second](const Item *item) {
+        return Predicate([name = std::move(name), relation, value = found->second](const Item *item) {
             if (item == nullptr)
                 return false;
-            const auto held = item->find(name);
-            if (held == item->end() || held->second.type != value.type)
+            const auto existing = item->find(name);
+            if (existing == item->end() || existing->second.type != value.type)
                 return false;
-            return satisfies(relation, compare(held->second, value));
+            return relationHolds(relation, compare(existing->second, value));
         });
     }
 
-    Result<std::string> attributeName()
+    Result<std::string> parseAttributeName()
     {
         if (this->token.empty() || !isWordCharacter(this->token.front()) || this->token.front() == ':')
-            return this->unexpected();
+            return this->unexpectedToken();
         std::string name(this->token);
         if (name.front() == '#') {
-            const auto found = this->names.names.find(name);
-            if (found == this->names.names.end())
-                return this->unexpected();
+            const auto found = this->attributes.names.find(name);
+            if (found == this->attributes.names.end())
+                return this->unexpectedToken();
             name = found->second;
         }
         this->advance();
@@ -173,12 +174,12 @@
     Result<void> expect(std::string_view wanted)
     {
         if (this->token != wanted)
-            return this->unexpected();
+            return this->unexpectedToken();
         this->advance();
         return success();
     }
 
-    Error unexpected() const
+    Error unexpectedToken() const
     {
         return makeError(ErrorKind::InvalidInput, "read condition", std::string(this->text),
                          this->token.empty() ? "the expression ends too early"
@@ -203,14 +204,14 @@
     }
 
     std::string_view text;
-    const ExpressionNames &names;
+    const ExpressionAttributes &attributes;
     std::size_t position = 0;
     std::string_view token; // Empty at the end.
 };
 
-Result<Condition> Condition::parse(std::string_view expression, const ExpressionNames &names)
+Result<Condition> Condition::parse(std::string_view expression, const ExpressionAttributes &attributes)
 {
-    return ConditionParser(expression, names).whole();
+    return ConditionParser(expression, attributes).parse();
 }
 
 } // namespace Sagecrank
--- a/Services/PlatformEmulator/Condition.h
+++ b/Services/PlatformEmulator/Condition.h
@@ -23,7 +23,7 @@
 
 using Item = std::map<std::string, AttributeValue, std::less<>>;
 
-struct ExpressionNames
+struct ExpressionAttributes
 {
     std::map<std::string, std::string, std::less<>> names;     // "#n" to the attribute's name.
     std::map<std::string, AttributeValue, std::less<>> values; // ":v" to a value.
@@ -33,20 +33,20 @@
 {
 public:
     // Errors: InvalidInput with the place where the expression stops making sense.
-    static Result<Condition> parse(std::string_view expression, const ExpressionNames &names);
+    static Result<Condition> parse(std::string_view expression, const ExpressionAttributes &attributes);
 
     // A null item is one that is not there; every comparison with it is false.
-    bool holds(const Item *item) const { return this->test(item); }
+    bool isSatisfiedBy(const Item *item) const { return this->predicate(item); }
 
 private:
-    using Test = std::function<bool(const Item *)>;
+    using Predicate = std::function<bool(const Item *)>;
     friend class ConditionParser;
-    explicit Condition(Test test)
-        : test(std::move(test))
+    explicit Condition(Predicate predicate)
+        : predicate(std::move(predicate))
     {
     }
 
-    Test test;
+    Predicate predicate;
 };
 
 } // namespace Sagecrank
--- a/Services/PlatformEmulator/Faults.cpp
+++ b/Services/PlatformEmulator/Faults.cpp
@@ -17,68 +17,68 @@
                      "bad value or unknown key: " + std::string(key));
 }
 
-bool readFlag(const json::value &value, bool &into)
+bool readFlag(const json::value &value, bool &result)
 {
     if (!value.is_bool())
         return false;
-    into = value.as_bool();
+    result = value.as_bool();
     return true;
 }
 
-bool readShare(const json::value &value, double &into)
+bool readShare(const json::value &value, double &result)
 {
     json::error_code error;
     const auto share = value.to_number<double>(error);
     if (error || !(share >= 0 && share <= 1))
         return false;
-    into = share;
+    result = share;
     return true;
 }
 
-bool readMilliseconds(const json::value &value, Milliseconds &into)
+bool readMilliseconds(const json::value &value, Milliseconds &result)
 {
     constexpr std::int64_t longest = 600'000;
     json::error_code error;
     const auto count = value.to_number<std::int64_t>(error);
     if (error || count < 0 || count > longest)
         return false;
-    into = Milliseconds(count);
+    result = Milliseconds(count);
     return true;
 }
 
-bool readSeed(const json::value &value, std::uint64_t &into)
+bool readSeed(const json::value &value, std::uint64_t &result)
 {
     json::error_code error;
-    into = value.to_number<std::uint64_t>(error);
+    result = value.to_number<std::uint64_t>(error);
     return !error;
 }
 
-bool readSetting(std::string_view key, const json::value &value, FaultSettings &into)
+bool readSetting(std::string_view key, const json::value &value, FaultSettings &result)
 {
     if (key == "down")
-        return readFlag(value, into.down);
+        return readFlag(value, result.down);
     if (key == "down_answers")
-        return readFlag(value, into.downAnswers);
+        return readFlag(value, result.answerWhileDown);
     if (key == "delay_ms")
-        return readMilliseconds(value, into.delay);
+        return readMilliseconds(value, result.delay);
     if (key == "answer_delay_ms")
-        return readMilliseconds(value, into.answerDelay);
+        return readMilliseconds(value, result.answerDelay);
     if (key == "lose_answers")
-        return readShare(value, into.loseAnswers);
+        return readShare(value, result.lostAnswerShare);
     if (key == "late_writes")
-        return readShare(value, into.lateWrites);
+        return readShare(value, result.lateWriteShare);
     if (key == "late_ms")
-        return readMilliseconds(value, into.lateBy);
+        return readMilliseconds(value, result.lateWriteDelay);
     if (key == "reject_writes")
-        return readFlag(value, into.rejectWrites);
+        return readFlag(value, result.rejectWrites);
     if (key == "seed")
-        return readSeed(value, into.seed);
+        return readSeed(value, result.seed);
     return false;
 }
 
 } // namespace
 
-Result<FaultSettings> readFaults(std::string_view text)
+Result<FaultSettings> parseFaultSettings(std::string_view text)
 {
     json::error_code error;
     const json::value value = json::parse(json::string_view(text.data(), text.size()), error);
@@ -92,32 +92,32 @@
     return settings;
 }
 
-WriteFate Faults::drawWriteFate()
+WriteFault FaultInjector::drawWriteFault()
 {
     const double draw = std::uniform_real_distribution<double>(0, 1)(this->random);
-    if (draw < this->current.loseAnswers)
-        return WriteFate::AnswerLost;
-    if (draw < this->current.loseAnswers + this->current.lateWrites)
-        return WriteFate::EffectLate;
-    return WriteFate::Answered;
+    if (draw < this->current.lostAnswerShare)
+        return WriteFault::AnswerLost;
+    if (draw < this->current.lostAnswerShare + this->current.lateWriteShare)
+        return WriteFault::AppliedLate;
+    return WriteFault::None;
 }
 
-void Faults::set(const FaultSettings &settings)
+void FaultInjector::set(const FaultSettings &settings)
 {
     this->current = settings;
     this->random.seed(settings.seed);
 }
 
-bool RateLimit::take(double units, Instant now)
+bool RateLimiter::tryTake(double units, Instant now)
 {
     if (this->last != Instant{}) {
         const double seconds = std::chrono::duration<double>(now - this->last).count();
-        this->saved = std::min(this->rate, this->saved + (seconds * this->rate));
+        this->available = std::min(this->rate, this->available + (seconds * this->rate));
     }
     this->last = now;
-    if (this->saved < units)
+    if (this->available < units)
         return false;
-    this->saved -= units;
+    this->available -= units;
     return true;
 }
 
--- a/Services/PlatformEmulator/Faults.h
+++ b/Services/PlatformEmulator/Faults.h
@@ -14,26 +14,26 @@
 struct FaultSettings
 {
     bool down = false;
-    bool downAnswers = false;    // While down: answer 503; otherwise connections are closed.
-    Milliseconds delay{0};       // Before the effect of every request.
-    Milliseconds answerDelay{0}; // Between the effect and its answer.
-    double loseAnswers = 0;      // Share of writes that take effect and whose connection is then closed.
-    double lateWrites = 0;     // Share of writes whose connection is closed first and that take effect later.
-    Milliseconds lateBy{1000}; // How much later.
-    bool rejectWrites = false; // Writes fail for certain; reads work.
+    bool answerWhileDown = false; // While down: answer 503; otherwise connections are closed.
+    Milliseconds delay{0};        // Before the effect of every request.
+    Milliseconds answerDelay{0};  // Between the effect and its answer.
+    double lostAnswerShare = 0;   // Share of writes that take effect and whose connection is then closed.
+    double lateWriteShare = 0; // Share of writes whose connection is closed first and that take effect later.
+    Milliseconds lateWriteDelay{1000}; // How much later.
+    bool rejectWrites = false;         // Writes fail for certain; reads work.
     std::uint64_t seed = 1;
 };
 
 // Reads the JSON of POST /emulator/faults. A key that is left out has its default, so "{}" mends everything.
-Result<FaultSettings> readFaults(std::string_view json);
+Result<FaultSettings> parseFaultSettings(std::string_view json);
 
-enum class WriteFate { Answered, AnswerLost, EffectLate };
+enum class WriteFault { None, AnswerLost, AppliedLate };
 
-class Faults
+class FaultInjector
 {
 public:
     const FaultSettings &settings() const { return this->current; }
-    WriteFate drawWriteFate();
+    WriteFault drawWriteFault();
 
     void set(const FaultSettings &settings);
 
@@ -44,20 +44,20 @@
 
 // A token bucket: `rate` units a second, at most one second's worth saved up. A request that finds fewer
 // than it needs is refused, as the platform does; nothing waits.
-class RateLimit
+class RateLimiter
 {
 public:
-    explicit RateLimit(double rate)
+    explicit RateLimiter(double rate)
         : rate(rate)
-        , saved(rate)
+        , available(rate)
     {
     }
 
-    bool take(double units, Instant now);
+    bool tryTake(double units, Instant now);
 
 private:
     double rate;
-    double saved;
+    double available;
     Instant last{};
 };
 
--- a/Services/PlatformEmulator/Main.cpp
+++ b/Services/PlatformEmulator/Main.cpp
@@ -27,8 +27,8 @@
     });
 }
 
-std::vector<StorePort> portsOf(asio::io_context &context, const std::string &listen,
-                               const PlatformSettings &settings, FaultsSetHook faultsSet)
+std::vector<StorePort> makePorts(asio::io_context &context, const std::string &listen,
+                                 const PlatformSettings &settings, FaultsSetHook faultsSet)
 {
     const auto later = [&context](Milliseconds delay, std::function<void()> step) {
         runAfter(context, delay, std::move(step));
@@ -57,8 +57,8 @@
     options::variables_map values;
     if (const auto exitCode = readCommandLine(CommandLine{"", description, {}}, count, arguments, values))
         return *exitCode;
-    return runStore("platform-emulator", maximumObjectBytes,
-                    [&](asio::io_context &context, FaultsSetHook faultsSet) {
-                        return portsOf(context, listen, settings, std::move(faultsSet));
-                    });
+    return runStoreProgram("platform-emulator", maximumObjectBytes,
+                           [&](asio::io_context &context, FaultsSetHook faultsSet) {
+                               return makePorts(context, listen, settings, std::move(faultsSet));
+                           });
 }
--- a/Services/PlatformEmulator/ObjectApi.cpp
+++ b/Services/PlatformEmulator/ObjectApi.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-std::string tagOf(std::string_view content)
+std::string makeETag(std::string_view content)
 {
     const XXH128_hash_t hash = XXH3_128bits(content.data(), content.size());
     char text[40];
@@ -20,12 +20,12 @@
 
 } // namespace
 
-Operation ObjectApi::operation(std::string_view method, std::string_view path, std::string_view body)
+Operation ObjectApi::parseRequest(std::string_view method, std::string_view path, std::string_view body)
 {
     const std::string name(path);
     const std::size_t slash = path.find('/', 1);
     if (slash == std::string_view::npos || slash + 1 == path.size())
-        return Operation{false, 1, [] { return error(400, "InvalidURI", "expected /bucket/key"); }};
+        return Operation{false, 1, [] { return errorResponse(400, "InvalidURI", "expected /bucket/key"); }};
     if (method == "PUT")
         return Operation{true, 1,
                          [this, name, content = std::string(body)] { return this->put(name, content); }};
@@ -33,14 +33,15 @@
         return Operation{false, 1, [this, name] { return this->get(name); }};
     if (method == "DELETE")
         return Operation{true, 1, [this, name] { return this->remove(name); }};
-    return Operation{false, 1, [] { return error(405, "MethodNotAllowed", "use PUT, GET, HEAD or DELETE"); }};
+    return Operation{false, 1,
+                     [] { return errorResponse(405, "MethodNotAllowed", "use PUT, GET, HEAD or DELETE"); }};
 }
 
 HttpResponse ObjectApi::put(const std::string &path, const std::string &content)
 {
-    const auto stored = this->objects.insert_or_assign(path, Object{content, tagOf(content)}).first;
+    const auto stored = this->objects.insert_or_assign(path, Object{content, makeETag(content)}).first;
     HttpResponse response = makeResponse(200, "application/xml", "");
-    response.headers.push_back({"ETag", stored->second.tag});
+    response.headers.push_back({"ETag", stored->second.etag});
     return response;
 }
 
@@ -48,9 +49,9 @@
 {
     const auto found = this->objects.find(path);
     if (found == this->objects.end())
-        return error(404, "NoSuchKey", "The specified key does not exist.");
+        return errorResponse(404, "NoSuchKey", "The specified key does not exist.");
     HttpResponse response = makeResponse(200, "binary/octet-stream", found->second.content);
-    response.headers.push_back({"ETag", found->second.tag});
+    response.headers.push_back({"ETag", found->second.etag});
     return response;
 }
 
@@ -60,7 +61,7 @@
     return makeResponse(204, "application/xml", "");
 }
 
-HttpResponse ObjectApi::error(unsigned status, std::string_view code, std::string_view message)
+HttpResponse ObjectApi::errorResponse(unsigned status, std::string_view code, std::string_view message)
 {
     const std::string body = "<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n<Error><Code>" + std::string(code)
                              + "</Code><Message>" + std::string(message) + "</Message></Error>";
--- a/Services/PlatformEmulator/ObjectApi.h
+++ b/Services/PlatformEmulator/ObjectApi.h
@@ -14,16 +14,16 @@
 {
 public:
     // `path` is "/bucket/key".
-    Operation operation(std::string_view method, std::string_view path, std::string_view body);
-    std::size_t size() const { return this->objects.size(); }
+    Operation parseRequest(std::string_view method, std::string_view path, std::string_view body);
+    std::size_t objectCount() const { return this->objects.size(); }
 
-    static HttpResponse error(unsigned status, std::string_view code, std::string_view message);
+    static HttpResponse errorResponse(unsigned status, std::string_view code, std::string_view message);
 
 private:
     struct Object
     {
         std::string content;
-        std::string tag; // The quoted ETag; equal content has an equal one.
+        std::string etag; // The quoted ETag; equal content has an equal one.
     };
 
     HttpResponse put(const std::string &path, const std::string &content);
--- a/Services/PlatformEmulator/Operation.h
+++ b/Services/PlatformEmulator/Operation.h
@@ -11,7 +11,7 @@
 
 struct Operation
 {
-    bool write = false;
+    bool isWrite = false;
     std::uint32_t units = 1; // Items read or written; what the limits count.
     std::function<HttpResponse()> apply;
 };
--- a/Services/PlatformEmulator/PlatformService.cpp
+++ b/Services/PlatformEmulator/PlatformService.cpp
@@ -11,21 +11,22 @@
 
 namespace {
 
-HttpResponse throttled(bool table)
+HttpResponse throttledResponse(bool isTableRequest)
 {
-    if (table)
-        return TableApi::error("ProvisionedThroughputExceededException", "the rate is exceeded; back off");
-    return ObjectApi::error(503, "SlowDown", "Please reduce your request rate.");
+    if (isTableRequest)
+        return TableApi::errorResponse("ProvisionedThroughputExceededException",
+                                       "the rate is exceeded; back off");
+    return ObjectApi::errorResponse(503, "SlowDown", "Please reduce your request rate.");
 }
 
-HttpResponse rejected(bool table)
+HttpResponse rejectedResponse(bool isTableRequest)
 {
-    if (table)
-        return TableApi::error("InternalServerError", "rejected", 500);
-    return ObjectApi::error(500, "InternalError", "rejected");
+    if (isTableRequest)
+        return TableApi::errorResponse("InternalServerError", "rejected", 500);
+    return ObjectApi::errorResponse(500, "InternalError", "rejected");
 }
 
-json::object countJson(const OperationCount &count)
+json::object countersToJson(const OperationCounters &count)
 {
     return {{"requests", count.requests},
             {"units", count.units},
@@ -36,8 +37,8 @@
 
 } // namespace
 
-PlatformService::PlatformService(PlatformSettings settings, After after, Now now, FaultsSet faultsSet)
-    : after(std::move(after))
+PlatformService::PlatformService(PlatformSettings settings, RunAfter runAfter, Now now, FaultsSet faultsSet)
+    : runAfter(std::move(runAfter))
     , now(std::move(now))
     , faultsSet(std::move(faultsSet))
     , writes(settings.writeRate)
@@ -48,25 +49,28 @@
 void PlatformService::handle(const HttpRequest &request, const std::shared_ptr<HttpExchange> &exchange)
 {
     if (request.target.starts_with("/emulator/")) {
-        this->control(request, *exchange);
+        this->handleControlRequest(request, *exchange);
         return;
     }
     if (this->faults.settings().down) {
-        this->refuseDown(*exchange);
+        this->respondWhileDown(*exchange);
         return;
     }
-    const bool table = request.target == "/";
+    const bool isTableRequest = request.target == "/";
     Operation operation =
-        table ? this->tableApi.operation(findHeader(request.headers, "X-Amz-Target"), request.body)
-              : this->objectApi.operation(request.method, request.target, request.body);
-    OperationCount &tableCount = operation.write ? this->counters.tableWrites : this->counters.tableReads;
-    OperationCount &objectCount = operation.write ? this->counters.objectWrites : this->counters.objectReads;
-    OperationCount &count = table ? tableCount : objectCount;
+        isTableRequest
+            ? this->tableApi.parseRequest(findHeader(request.headers, "X-Amz-Target"), request.body)
+            : this->objectApi.parseRequest(request.method, request.target, request.body);
+    OperationCounters &tableCount =
+        operation.isWrite ? this->counters.tableWrites : this->counters.tableReads;
+    OperationCounters &objectCount =
+        operation.isWrite ? this->counters.objectWrites : this->counters.objectReads;
+    OperationCounters &count = isTableRequest ? tableCount : objectCount;
     count.bytesIn += request.body.size();
-    this->run(exchange, std::move(operation), table, count);
+    this->execute(exchange, std::move(operation), isTableRequest, count);
 }
 
-void PlatformService::control(const HttpRequest &request, HttpExchange &exchange)
+void PlatformService::handleControlRequest(const HttpRequest &request, HttpExchange &exchange)
 {
     if (request.target == "/emulator/counters") {
         exchange.respond(makeResponse(200, "application/json", this->countersJson()));
@@ -77,7 +81,7 @@
             makeResponse(404, "text/plain", "use POST /emulator/faults or GET /emulator/counters\n"));
         return;
     }
-    const Result<FaultSettings> settings = readFaults(request.body);
+    const Result<FaultSettings> settings = parseFaultSettings(request.body);
     if (!settings) {
         exchange.respond(makeResponse(400, "text/plain", settings.error().describe() + "\n"));
         return;
@@ -87,56 +91,56 @@
     exchange.respond(makeResponse(200, "application/json", "{}"));
 }
 
-void PlatformService::refuseDown(HttpExchange &exchange)
+void PlatformService::respondWhileDown(HttpExchange &exchange)
 {
     ++this->counters.refusedDown;
-    if (this->faults.settings().downAnswers)
+    if (this->faults.settings().answerWhileDown)
         exchange.respond(makeResponse(503, "text/plain", "service unavailable\n"));
     else
         exchange.drop();
 }
 
-void PlatformService::run(const std::shared_ptr<HttpExchange> &exchange, Operation operation, bool table,
-                          OperationCount &count)
+void PlatformService::execute(const std::shared_ptr<HttpExchange> &exchange, Operation operation,
+                              bool isTableRequest, OperationCounters &count)
 {
     ++count.requests;
-    RateLimit &limit = operation.write ? this->writes : this->reads;
-    if (!limit.take(operation.units, this->now())) {
+    RateLimiter &limit = operation.isWrite ? this->writes : this->reads;
+    if (!limit.tryTake(operation.units, this->now())) {
         ++count.throttled;
-        exchange->respond(throttled(table));
+        exchange->respond(throttledResponse(isTableRequest));
         return;
     }
-    if (operation.write && this->faults.settings().rejectWrites) {
+    if (operation.isWrite && this->faults.settings().rejectWrites) {
         ++this->counters.rejectedWrites;
-        exchange->respond(rejected(table));
+        exchange->respond(rejectedResponse(isTableRequest));
         return;
     }
     count.units += operation.units;
 
-    const WriteFate fate = operation.write ? this->faults.drawWriteFate() : WriteFate::Answered;
+    const WriteFault fault = operation.isWrite ? this->faults.drawWriteFault() : WriteFault::None;
     Milliseconds delay = this->faults.settings().delay;
-    if (fate == WriteFate::EffectLate) {
+    if (fault == WriteFault::AppliedLate) {
         ++this->counters.lateWrites;
-        delay += this->faults.settings().lateBy;
+        delay += this->faults.settings().lateWriteDelay;
         exchange->drop();
     }
     if (delay.count() == 0) {
-        this->finish(exchange, operation, fate, count);
+        this->applyAndRespond(exchange, operation, fault, count);
         return;
     }
     // The effect does not depend on whether the caller still waits: a write that was given up on still lands.
-    this->after(delay, [this, exchange, operation = std::move(operation), fate, &count] {
-        this->finish(exchange, operation, fate, count);
+    this->runAfter(delay, [this, exchange, operation = std::move(operation), fault, &count] {
+        this->applyAndRespond(exchange, operation, fault, count);
     });
 }
 
-void PlatformService::finish(const std::shared_ptr<HttpExchange> &exchange, const Operation &operation,
-                             WriteFate fate, OperationCount &count)
+void PlatformService::applyAndRespond(const std::shared_ptr<HttpExchange> &exchange,
+                                      const Operation &operation, WriteFault fault, OperationCounters &count)
 {
     HttpResponse response = operation.apply();
-    if (fate == WriteFate::EffectLate)
+    if (fault == WriteFault::AppliedLate)
         return;
-    if (fate == WriteFate::AnswerLost) {
+    if (fault == WriteFault::AnswerLost) {
         ++this->counters.lostAnswers;
         exchange->drop();
         return;
@@ -147,7 +151,7 @@
         exchange->respond(std::move(response));
         return;
     }
-    this->after(delay, [exchange, response = std::move(response)] { exchange->respond(response); });
+    this->runAfter(delay, [exchange, response = std::move(response)] { exchange->respond(response); });
 }
 
 std::string PlatformService::countersJson() const
@@ -156,11 +160,11 @@
     json::object all;
     all["reads"] = counters.tableReads.units + counters.objectReads.units;
     all["writes"] = counters.tableWrites.units + counters.objectWrites.units;
-    all["objects"] = this->objectApi.size();
-    all["table_reads"] = countJson(counters.tableReads);
-    all["table_writes"] = countJson(counters.tableWrites);
-    all["object_reads"] = countJson(counters.objectReads);
-    all["object_writes"] = countJson(counters.objectWrites);
+    all["objects"] = this->objectApi.objectCount();
+    all["table_reads"] = countersToJson(counters.tableReads);
+    all["table_writes"] = countersToJson(counters.tableWrites);
+    all["object_reads"] = countersToJson(counters.objectReads);
+    all["object_writes"] = countersToJson(counters.objectWrites);
     all["refused_down"] = counters.refusedDown;
     all["rejected_writes"] = counters.rejectedWrites;
     all["lost_answers"] = counters.lostAnswers;
--- a/Services/PlatformEmulator/PlatformService.h
+++ b/Services/PlatformEmulator/PlatformService.h
@@ -20,7 +20,7 @@
     double readRate = 2000;
 };
 
-struct OperationCount
+struct OperationCounters
 {
     std::uint64_t requests = 0;
     std::uint64_t units = 0;
@@ -31,10 +31,10 @@
 
 struct PlatformCounters
 {
-    OperationCount tableReads;
-    OperationCount tableWrites;
-    OperationCount objectReads;
-    OperationCount objectWrites;
+    OperationCounters tableReads;
+    OperationCounters tableWrites;
+    OperationCounters objectReads;
+    OperationCounters objectWrites;
     std::uint64_t refusedDown = 0;
     std::uint64_t rejectedWrites = 0;
     std::uint64_t lostAnswers = 0;
@@ -46,29 +46,29 @@
 {
 public:
     // Runs the step after the delay, on the service's thread.
-    using After = std::function<void(Milliseconds delay, std::function<void()> step)>;
+    using RunAfter = std::function<void(Milliseconds delay, std::function<void()> step)>;
     using Now = std::function<Instant()>;
     using FaultsSet = std::function<void(std::string_view json)>; // Told of each change by command.
 
-    PlatformService(PlatformSettings settings, After after, Now now, FaultsSet faultsSet);
+    PlatformService(PlatformSettings settings, RunAfter runAfter, Now now, FaultsSet faultsSet);
 
     void handle(const HttpRequest &request, const std::shared_ptr<HttpExchange> &exchange);
 
 private:
-    void control(const HttpRequest &request, HttpExchange &exchange);
-    void refuseDown(HttpExchange &exchange);
-    void run(const std::shared_ptr<HttpExchange> &exchange, Operation operation, bool table,
-             OperationCount &count);
-    void finish(const std::shared_ptr<HttpExchange> &exchange, const Operation &operation, WriteFate fate,
-                OperationCount &count);
+    void handleControlRequest(const HttpRequest &request, HttpExchange &exchange);
+    void respondWhileDown(HttpExchange &exchange);
+    void execute(const std::shared_ptr<HttpExchange> &exchange, Operation operation, bool isTableRequest,
+                 OperationCounters &count);
+    void applyAndRespond(const std::shared_ptr<HttpExchange> &exchange, const Operation &operation,
+                         WriteFault fault, OperationCounters &count);
     std::string countersJson() const;
 
-    After after;
+    RunAfter runAfter;
     Now now;
     FaultsSet faultsSet;
-    Faults faults;
-    RateLimit writes; // Shared by table and objects: the stricter reading of the platform's limit.
-    RateLimit reads;
+    FaultInjector faults;
+    RateLimiter writes; // Shared by table and objects: the stricter reading of the platform's limit.
+    RateLimiter reads;
     TableApi tableApi;
     ObjectApi objectApi;
     PlatformCounters counters;
--- a/Services/PlatformEmulator/StoreProgram.cpp
+++ b/Services/PlatformEmulator/StoreProgram.cpp
@@ -17,7 +17,8 @@
 
 } // namespace
 
-int runStore(const std::string &process, std::uint64_t maximumBodyBytes, const MakeStorePorts &makePorts)
+int runStoreProgram(const std::string &process, std::uint64_t maximumBodyBytes,
+                    const MakeStorePorts &makePorts)
 {
     EventLog log(process, {});
     boost::asio::io_context context(1);
--- a/Services/PlatformEmulator/StoreProgram.h
+++ b/Services/PlatformEmulator/StoreProgram.h
@@ -25,6 +25,7 @@
 using MakeStorePorts = std::function<std::vector<StorePort>(boost::asio::io_context &, FaultsSetHook)>;
 
 // Serves until SIGINT or SIGTERM; the exit code of the process.
-int runStore(const std::string &process, std::uint64_t maximumBodyBytes, const MakeStorePorts &makePorts);
+int runStoreProgram(const std::string &process, std::uint64_t maximumBodyBytes,
+                    const MakeStorePorts &makePorts);
 
 } // namespace Sagecrank
--- a/Services/PlatformEmulator/TableApi.cpp
+++ b/Services/PlatformEmulator/TableApi.cpp
@@ -16,9 +16,9 @@
 constexpr std::string_view targetPrefix = "DynamoDB_20120810.";
 constexpr std::string_view errorPrefix = "com.amazonaws.dynamodb.v20120810#";
 constexpr const char *contentType = "application/x-amz-json-1.0";
-constexpr std::size_t maximumTransaction = 100; // The platform's own limit.
-constexpr std::size_t maximumBatch = 100;
-constexpr std::size_t rememberedTokens = 100'000;
+constexpr std::size_t maximumTransactionItems = 100; // The platform's own limit.
+constexpr std::size_t maximumBatchKeys = 100;
+constexpr std::size_t maximumCompletedTransactions = 100'000;
 
 Error invalid(std::string_view what)
 {
@@ -30,7 +30,7 @@
     return makeResponse(status, contentType, json::serialize(body));
 }
 
-Result<AttributeValue> readValue(const json::value &value)
+Result<AttributeValue> parseAttributeValue(const json::value &value)
 {
     if (!value.is_object() || value.as_object().size() != 1)
         return invalid("an attribute value must be an object with one type");
@@ -49,7 +49,7 @@
     return invalid("attribute values are S, N, B or BOOL");
 }
 
-json::value writeValue(const AttributeValue &value)
+json::value attributeValueToJson(const AttributeValue &value)
 {
     switch (value.type) {
     case AttributeType::String:
@@ -64,25 +64,25 @@
     return nullptr;
 }
 
-json::object writeItem(const Item &item)
+json::object itemToJson(const Item &item)
 {
     json::object object;
     for (const auto &[name, value] : item)
-        object[name] = writeValue(value);
+        object[name] = attributeValueToJson(value);
     return object;
 }
 
-Result<Item> readItem(const json::value *value)
+Result<Item> parseItem(const json::value *value)
 {
     if (value == nullptr || !value->is_object())
         return invalid("an item or key must be an object");
     Item item;
     for (const auto &[name, content] : value->as_object())
-        item[std::string(name)] = TRY(readValue(content));
+        item[std::string(name)] = TRY(parseAttributeValue(content));
     return item;
 }
 
-Result<ItemKey> keyOf(const Item &item)
+Result<ItemKey> parseKey(const Item &item)
 {
     const auto partition = item.find("pk");
     const auto sort = item.find("sk");
@@ -92,53 +92,53 @@
     return ItemKey{partition->second.text, sort->second.text};
 }
 
-std::string text(const json::object &request, std::string_view name)
+std::string stringField(const json::object &request, std::string_view name)
 {
     const json::value *value = request.if_contains(json::string_view(name.data(), name.size()));
     return value != nullptr && value->is_string() ? std::string(value->as_string()) : std::string();
 }
 
-Result<ExpressionNames> readNames(const json::object &request)
+Result<ExpressionAttributes> parseExpressionAttributes(const json::object &request)
 {
-    ExpressionNames names;
-    if (const json::value *given = request.if_contains("ExpressionAttributeNames");
-        given && given->is_object()) {
-        for (const auto &[name, content] : given->as_object()) {
+    ExpressionAttributes attributes;
+    if (const json::value *field = request.if_contains("ExpressionAttributeNames");
+        field && field->is_object()) {
+        for (const auto &[name, content] : field->as_object()) {
             if (!content.is_string())
                 return invalid("an attribute name must be a string");
-            names.names[std::string(name)] = std::string(content.as_string());
+            attributes.names[std::string(name)] = std::string(content.as_string());
         }
     }
-    if (const json::value *given = request.if_contains("ExpressionAttributeValues");
-        given && given->is_object()) {
-        for (const auto &[name, content] : given->as_object())
-            names.values[std::string(name)] = TRY(readValue(content));
+    if (const json::value *field = request.if_contains("ExpressionAttributeValues");
+        field && field->is_object()) {
+        for (const auto &[name, content] : field->as_object())
+            attributes.values[std::string(name)] = TRY(parseAttributeValue(content));
     }
-    return names;
+    return attributes;
 }
 
-struct ReadWrite
+struct ParsedWrite
 {
     std::string table;
     TableWrite write;
-    bool returnOld = false; // Give the item that failed the condition back.
+    bool returnExistingItem = false; // Give the item that failed the condition back.
 };
 
-Result<ReadWrite> readWrite(const json::object &request, WriteKind kind)
+Result<ParsedWrite> parseWrite(const json::object &request, WriteKind kind)
 {
-    ReadWrite result;
-    result.table = text(request, "TableName");
+    ParsedWrite result;
+    result.table = stringField(request, "TableName");
     result.write.kind = kind;
-    Item item = TRY(readItem(request.if_contains(kind == WriteKind::Put ? "Item" : "Key")));
-    result.write.key = TRY(keyOf(item));
+    Item item = TRY(parseItem(request.if_contains(kind == WriteKind::Put ? "Item" : "Key")));
+    result.write.key = TRY(parseKey(item));
     if (kind == WriteKind::Put)
         result.write.item = std::move(item);
-    const std::string expression = text(request, "ConditionExpression");
+    const std::string expression = stringField(request, "ConditionExpression");
     if (!expression.empty())
-        result.write.condition = TRY(Condition::parse(expression, TRY(readNames(request))));
+        result.write.condition = TRY(Condition::parse(expression, TRY(parseExpressionAttributes(request))));
     if (kind == WriteKind::ConditionCheck && !result.write.condition)
         return invalid("a condition check needs a condition");
-    result.returnOld = text(request, "ReturnValuesOnConditionCheckFailure") == "ALL_OLD";
+    result.returnExistingItem = stringField(request, "ReturnValuesOnConditionCheckFailure") == "ALL_OLD";
     return result;
 }
 
@@ -147,20 +147,20 @@
     return {{"__type", std::string(errorPrefix) + std::string(type)}, {"message", std::string(message)}};
 }
 
-struct ReadTransaction
+struct ParsedTransaction
 {
-    std::vector<ReadWrite> writes;
+    std::vector<ParsedWrite> writes;
 };
 
-Result<ReadTransaction> readTransaction(const json::object &request)
+Result<ParsedTransaction> parseTransaction(const json::object &request)
 {
     const json::value *entries = request.if_contains("TransactItems");
     if (entries == nullptr || !entries->is_array() || entries->as_array().empty())
         return invalid("TransactItems must be a list");
-    if (entries->as_array().size() > maximumTransaction)
+    if (entries->as_array().size() > maximumTransactionItems)
         return invalid("a transaction holds at most 100 items");
-    ReadTransaction result;
-    std::set<std::pair<std::string, ItemKey>> touched;
+    ParsedTransaction result;
+    std::set<std::pair<std::string, ItemKey>> seenKeys;
     for (const json::value &entry : entries->as_array()) {
         if (!entry.is_object() || entry.as_object().size() != 1
             || !entry.as_object().begin()->value().is_object())
@@ -173,8 +173,8 @@
             kind = WriteKind::ConditionCheck;
         else if (name != "Put")
             return invalid("an entry must be one of Put, Delete and ConditionCheck");
-        ReadWrite write = TRY(readWrite(content.as_object(), kind));
-        if (!touched.insert({write.table, write.write.key}).second)
+        ParsedWrite write = TRY(parseWrite(content.as_object(), kind));
+        if (!seenKeys.insert({write.table, write.write.key}).second)
             return invalid("a transaction may name an item only once");
         if (write.table.empty())
             return invalid("TableName is missing");
@@ -184,11 +184,11 @@
 }
 
 // "pk = :p" alone, or with "AND sk <relation> :s", "AND begins_with(sk, :s)" or "AND sk BETWEEN :a AND :b".
-Result<QueryRange> readRange(const json::object &request)
+Result<QueryRange> parseKeyCondition(const json::object &request)
 {
-    const ExpressionNames names = TRY(readNames(request));
+    const ExpressionAttributes attributes = TRY(parseExpressionAttributes(request));
     std::vector<std::string> words;
-    for (const char character : text(request, "KeyConditionExpression")) {
+    for (const char character : stringField(request, "KeyConditionExpression")) {
         const bool separator = character == ' ' || character == '(' || character == ')' || character == ',';
         if (separator)
             words.emplace_back();
@@ -199,12 +199,12 @@
     }
     std::erase(words, std::string());
     for (std::string &word : words) {
-        if (const auto found = names.names.find(word); found != names.names.end())
+        if (const auto found = attributes.names.find(word); found != attributes.names.end())
             word = found->second;
     }
     const auto value = [&](std::size_t at) -> Result<std::string> {
-        const auto found = at < words.size() ? names.values.find(words[at]) : names.values.end();
-        if (found == names.values.end())
+        const auto found = at < words.size() ? attributes.values.find(words[at]) : attributes.values.end();
+        if (found == attributes.values.end())
             return invalid("a key condition names a value that is not given");
         return found->second.text;
     };
@@ -217,29 +217,29 @@
     if (words.size() < 7 || words[3] != "AND")
         return invalid("a key condition may add one condition on sk");
     if (words[4] == "begins_with" && words[5] == "sk") {
-        range.first = TRY(value(6));
-        range.last = range.first + '\xff';
+        range.firstSort = TRY(value(6));
+        range.lastSort = range.firstSort + '\xff';
     } else if (words[4] == "sk" && words[5] == ">=") {
-        range.first = TRY(value(6));
+        range.firstSort = TRY(value(6));
     } else if (words[4] == "sk" && words[5] == ">") {
-        range.first = TRY(value(6)) + '\0';
+        range.firstSort = TRY(value(6)) + '\0';
     } else if (words[4] == "sk" && words[5] == "<=") {
-        range.last = TRY(value(6));
+        range.lastSort = TRY(value(6));
     } else if (words[4] == "sk" && words[5] == "=") {
-        range.first = TRY(value(6));
-        range.last = range.first;
+        range.firstSort = TRY(value(6));
+        range.lastSort = range.firstSort;
     } else if (words[4] == "sk" && words[5] == "BETWEEN" && words.size() == 9) {
-        range.first = TRY(value(6));
-        range.last = TRY(value(8));
+        range.firstSort = TRY(value(6));
+        range.lastSort = TRY(value(8));
     } else {
         return invalid("a condition on sk is =, >=, >, <=, BETWEEN or begins_with");
     }
     return range;
 }
 
-Result<QueryRange> readQuery(const json::object &request)
+Result<QueryRange> parseQuery(const json::object &request)
 {
-    QueryRange range = TRY(readRange(request));
+    QueryRange range = TRY(parseKeyCondition(request));
     if (const json::value *forward = request.if_contains("ScanIndexForward"); forward && forward->is_bool())
         range.ascending = forward->as_bool();
     if (const json::value *limit = request.if_contains("Limit"); limit != nullptr) {
@@ -248,50 +248,50 @@
         range.limit = static_cast<std::size_t>(limit->as_int64());
     }
     if (const json::value *start = request.if_contains("ExclusiveStartKey"); start != nullptr)
-        range.after = TRY(keyOf(TRY(readItem(start)))).second;
+        range.afterSort = TRY(parseKey(TRY(parseItem(start)))).second;
     return range;
 }
 
-HttpResponse conditionFailed(const ReadWrite &write, const Item *held)
+HttpResponse conditionFailedResponse(const ParsedWrite &write, const Item *existing)
 {
     json::object body = errorBody("ConditionalCheckFailedException", "The conditional request failed");
-    if (write.returnOld && held != nullptr)
-        body["Item"] = writeItem(*held);
+    if (write.returnExistingItem && existing != nullptr)
+        body["Item"] = itemToJson(*existing);
     return jsonResponse(400, body);
 }
 
-Operation refusal(std::string_view type, std::string_view message)
+Operation errorOperation(std::string_view type, std::string_view message)
 {
-    return Operation{false, 1, [response = TableApi::error(type, message)] { return response; }};
+    return Operation{false, 1, [response = TableApi::errorResponse(type, message)] { return response; }};
 }
 
 } // namespace
 
 // Reads one request against the API's tables; kept apart so that the header needs no JSON.
-class TableRequest
+class TableRequestParser
 {
 public:
-    TableRequest(TableApi &api, const json::object &request)
+    TableRequestParser(TableApi &api, const json::object &request)
         : api(api)
         , request(request)
     {
     }
 
-    Result<Operation> read(std::string_view name, std::string_view body)
+    Result<Operation> parse(std::string_view name, std::string_view body)
     {
         if (name == "TransactWriteItems")
-            return this->transaction(body);
+            return this->parseTransactWriteItems(body);
         if (name == "BatchGetItem")
-            return this->batchGet();
+            return this->parseBatchGetItem();
         TableStore &table = this->api.table(TRY(this->tableName()));
         if (name == "GetItem")
-            return this->get(table);
+            return this->parseGetItem(table);
         if (name == "PutItem")
-            return this->write(table, WriteKind::Put);
+            return this->parseSingleWrite(table, WriteKind::Put);
         if (name == "DeleteItem")
-            return this->write(table, WriteKind::Delete);
+            return this->parseSingleWrite(table, WriteKind::Delete);
         if (name == "Query")
-            return this->query(table);
+            return this->parseQueryRequest(table);
         return makeError(ErrorKind::NotFound, "read table request", "",
                          "unknown operation " + std::string(name));
     }
@@ -299,55 +299,55 @@
 private:
     Result<std::string> tableName() const
     {
-        std::string name = text(this->request, "TableName");
+        std::string name = stringField(this->request, "TableName");
         if (name.empty())
             return invalid("TableName is missing");
         return name;
     }
 
-    Result<Operation> get(TableStore &table) const
+    Result<Operation> parseGetItem(TableStore &table) const
     {
-        const ItemKey key = TRY(keyOf(TRY(readItem(this->request.if_contains("Key")))));
+        const ItemKey key = TRY(parseKey(TRY(parseItem(this->request.if_contains("Key")))));
         return Operation{false, 1, [&table, key] {
                              json::object answer;
-                             if (const Item *item = table.item(key))
-                                 answer["Item"] = writeItem(*item);
+                             if (const Item *item = table.find(key))
+                                 answer["Item"] = itemToJson(*item);
                              return jsonResponse(200, answer);
                          }};
     }
 
-    Result<Operation> write(TableStore &table, WriteKind kind) const
+    Result<Operation> parseSingleWrite(TableStore &table, WriteKind kind) const
     {
-        const auto shared = std::make_shared<ReadWrite>(TRY(readWrite(this->request, kind)));
+        const auto shared = std::make_shared<ParsedWrite>(TRY(parseWrite(this->request, kind)));
         return Operation{true, 1, [&table, shared] {
                              if (table.write(shared->write) == WriteOutcome::Applied)
                                  return jsonResponse(200, json::object());
-                             return conditionFailed(*shared, table.item(shared->write.key));
+                             return conditionFailedResponse(*shared, table.find(shared->write.key));
                          }};
     }
 
-    Result<Operation> query(TableStore &table) const
+    Result<Operation> parseQueryRequest(TableStore &table) const
     {
-        const QueryRange range = TRY(readQuery(this->request));
+        const QueryRange range = TRY(parseQuery(this->request));
         const auto units =
             static_cast<std::uint32_t>(std::max<std::size_t>(1, table.query(range).items.size()));
         return Operation{false, units, [&table, range] {
                              const QueryPage page = table.query(range);
                              json::array items;
                              for (const Item &item : page.items)
-                                 items.push_back(writeItem(item));
+                                 items.push_back(itemToJson(item));
                              json::object answer{{"Count", page.items.size()}};
                              answer["Items"] = std::move(items);
-                             if (page.more) {
+                             if (page.hasMore) {
                                  const Item &last = page.items.back();
-                                 answer["LastEvaluatedKey"] = {{"pk", writeValue(last.at("pk"))},
-                                                               {"sk", writeValue(last.at("sk"))}};
+                                 answer["LastEvaluatedKey"] = {{"pk", attributeValueToJson(last.at("pk"))},
+                                                               {"sk", attributeValueToJson(last.at("sk"))}};
                              }
                              return jsonResponse(200, answer);
                          }};
     }
 
-    Result<Operation> batchGet() const
+    Result<Operation> parseBatchGetItem() const
     {
         std::vector<std::pair<std::string, ItemKey>> keys;
         const json::value *tables = this->request.if_contains("RequestItems");
@@ -358,16 +358,16 @@
             if (list == nullptr || !list->is_array())
                 return invalid("Keys must be a list");
             for (const json::value &key : list->as_array())
-                keys.emplace_back(std::string(name), TRY(keyOf(TRY(readItem(&key)))));
+                keys.emplace_back(std::string(name), TRY(parseKey(TRY(parseItem(&key)))));
         }
-        if (keys.empty() || keys.size() > maximumBatch)
+        if (keys.empty() || keys.size() > maximumBatchKeys)
             return invalid("a batch names 1 to 100 keys");
-        return Operation{false, static_cast<std::uint32_t>(keys.size()), [this_ = &this->api, keys] {
+        return Operation{false, static_cast<std::uint32_t>(keys.size()), [tableApi = &this->api, keys] {
                              json::object found;
                              for (const auto &[name, key] : keys) {
                                  json::value &list = found.emplace(name, json::array()).first->value();
-                                 if (const Item *item = this_->table(name).item(key))
-                                     list.as_array().push_back(writeItem(*item));
+                                 if (const Item *item = tableApi->table(name).find(key))
+                                     list.as_array().push_back(itemToJson(*item));
                              }
                              json::object answer;
                              answer["Responses"] = std::move(found);
@@ -376,27 +376,27 @@
                          }};
     }
 
-    Result<Operation> transaction(std::string_view body) const
+    Result<Operation> parseTransactWriteItems(std::string_view body) const
     {
-        const auto shared = std::make_shared<ReadTransaction>(TRY(readTransaction(this->request)));
+        const auto shared = std::make_shared<ParsedTransaction>(TRY(parseTransaction(this->request)));
         const auto units = static_cast<std::uint32_t>(shared->writes.size());
         const std::string &name = shared->writes.front().table;
-        for (const ReadWrite &write : shared->writes) {
+        for (const ParsedWrite &write : shared->writes) {
             if (write.table != name)
                 return invalid("a transaction spans one table here");
         }
-        const std::string token = text(this->request, "ClientRequestToken");
+        const std::string token = stringField(this->request, "ClientRequestToken");
         return Operation{true, units, [api = &this->api, shared, token, body = std::string(body)] {
                              const auto apply = [&] { return transact(*api, *shared); };
-                             return token.empty() ? apply() : api->once(token, body, apply);
+                             return token.empty() ? apply() : api->applyOnce(token, body, apply);
                          }};
     }
 
-    static HttpResponse transact(TableApi &api, const ReadTransaction &transaction)
+    static HttpResponse transact(TableApi &api, const ParsedTransaction &transaction)
     {
         TableStore &table = api.table(transaction.writes.front().table);
         std::vector<TableWrite> writes;
-        for (const ReadWrite &write : transaction.writes)
+        for (const ParsedWrite &write : transaction.writes)
             writes.push_back(write.write);
         const std::vector<WriteOutcome> outcomes = table.transact(writes);
         if (std::find(outcomes.begin(), outcomes.end(), WriteOutcome::ConditionFailed) == outcomes.end())
@@ -409,9 +409,9 @@
             }
             json::object reason{{"Code", "ConditionalCheckFailed"},
                                 {"Message", "The conditional request failed"}};
-            const Item *held = table.item(writes[at].key);
-            if (transaction.writes[at].returnOld && held != nullptr)
-                reason["Item"] = writeItem(*held);
+            const Item *existing = table.find(writes[at].key);
+            if (transaction.writes[at].returnExistingItem && existing != nullptr)
+                reason["Item"] = itemToJson(*existing);
             reasons.push_back(std::move(reason));
         }
         json::object body = errorBody("TransactionCanceledException", "Transaction cancelled");
@@ -423,45 +423,46 @@
     const json::object &request;
 };
 
-Operation TableApi::operation(std::string_view target, std::string_view body)
+Operation TableApi::parseRequest(std::string_view target, std::string_view body)
 {
     if (!target.starts_with(targetPrefix))
-        return refusal("UnknownOperationException", "X-Amz-Target is missing or unknown");
+        return errorOperation("UnknownOperationException", "X-Amz-Target is missing or unknown");
     json::error_code error;
     const json::value request = json::parse(json::string_view(body.data(), body.size()), error);
     if (error || !request.is_object())
-        return refusal("SerializationException", "the body is no JSON object");
+        return errorOperation("SerializationException", "the body is no JSON object");
     Result<Operation> operation =
-        TableRequest(*this, request.as_object()).read(target.substr(targetPrefix.size()), body);
+        TableRequestParser(*this, request.as_object()).parse(target.substr(targetPrefix.size()), body);
     if (operation)
         return std::move(operation).assume_value();
     if (operation.error().kind == ErrorKind::NotFound)
-        return refusal("UnknownOperationException", operation.error().message);
-    return refusal("ValidationException", operation.error().message);
+        return errorOperation("UnknownOperationException", operation.error().message);
+    return errorOperation("ValidationException", operation.error().message);
 }
 
-HttpResponse TableApi::error(std::string_view type, std::string_view message, unsigned status)
+HttpResponse TableApi::errorResponse(std::string_view type, std::string_view message, unsigned status)
 {
     return jsonResponse(status, errorBody(type, message));
 }
 
-HttpResponse TableApi::once(const std::string &token, const std::string &body,
-                            const std::function<HttpResponse()> &apply)
+HttpResponse TableApi::applyOnce(const std::string &token, const std::string &body,
+                                 const std::function<HttpResponse()> &apply)
 {
-    const auto found = this->tokens.find(token);
-    if (found != this->tokens.end()) {
+    const auto found = this->completedTransactions.find(token);
+    if (found != this->completedTransactions.end()) {
         if (found->second.body != body)
-            return error("IdempotentParameterMismatchException", "the token was used with another request");
+            return errorResponse("IdempotentParameterMismatchException",
+                                 "the token was used with another request");
         return found->second.response;
     }
     HttpResponse response = apply();
     if (response.status != 200)
         return response;
-    this->tokens[token] = Remembered{body, response};
-    this->tokenOrder.push_back(token);
-    if (this->tokenOrder.size() > rememberedTokens) {
-        this->tokens.erase(this->tokenOrder.front());
-        this->tokenOrder.pop_front();
+    this->completedTransactions[token] = CompletedTransaction{body, response};
+    this->completionOrder.push_back(token);
+    if (this->completionOrder.size() > maximumCompletedTransactions) {
+        this->completedTransactions.erase(this->completionOrder.front());
+        this->completionOrder.pop_front();
     }
     return response;
 }
--- a/Services/PlatformEmulator/TableApi.h
+++ b/Services/PlatformEmulator/TableApi.h
@@ -17,28 +17,28 @@
 public:
     // `target` is the X-Amz-Target field. A request that does not check becomes a read whose answer is the
     // protocol's ValidationException.
-    Operation operation(std::string_view target, std::string_view body);
+    Operation parseRequest(std::string_view target, std::string_view body);
 
-    static HttpResponse error(std::string_view type, std::string_view message, unsigned status = 400);
+    static HttpResponse errorResponse(std::string_view type, std::string_view message, unsigned status = 400);
 
 private:
-    friend class TableRequest;
+    friend class TableRequestParser;
 
-    struct Remembered
+    struct CompletedTransaction
     {
         std::string body;
         HttpResponse response;
     };
 
     TableStore &table(const std::string &name) { return this->tables[name]; }
-    HttpResponse once(const std::string &token, const std::string &body,
-                      const std::function<HttpResponse()> &apply);
+    HttpResponse applyOnce(const std::string &token, const std::string &body,
+                           const std::function<HttpResponse()> &apply);
 
     std::map<std::string, TableStore> tables;
     // Transactions that carried a token and took effect: the same token again answers the same and writes
     // nothing. Bounded by dropping the oldest.
-    std::map<std::string, Remembered> tokens;
-    std::deque<std::string> tokenOrder;
+    std::map<std::string, CompletedTransaction> completedTransactions;
+    std::deque<std::string> completionOrder;
 };
 
 } // namespace Sagecrank
--- a/Services/PlatformEmulator/TableStore.cpp
+++ b/Services/PlatformEmulator/TableStore.cpp
@@ -5,7 +5,7 @@
 
 namespace Sagecrank {
 
-const Item *TableStore::item(const ItemKey &key) const
+const Item *TableStore::find(const ItemKey &key) const
 {
     const auto found = this->items.find(key);
     return found == this->items.end() ? nullptr : &found->second;
@@ -14,9 +14,9 @@
 QueryPage TableStore::query(const QueryRange &range) const
 {
     std::vector<const std::pair<const ItemKey, Item> *> matches;
-    for (auto row = this->items.lower_bound({range.partition, range.first});
+    for (auto row = this->items.lower_bound({range.partition, range.firstSort});
          row != this->items.end() && row->first.first == range.partition; ++row) {
-        if (range.last && row->first.second > *range.last)
+        if (range.lastSort && row->first.second > *range.lastSort)
             break;
         matches.push_back(&*row);
     }
@@ -26,10 +26,10 @@
     QueryPage page;
     for (const auto *row : matches) {
         const std::string &sort = row->first.second;
-        if (range.after && (range.ascending ? sort <= *range.after : sort >= *range.after))
+        if (range.afterSort && (range.ascending ? sort <= *range.afterSort : sort >= *range.afterSort))
             continue;
         if (range.limit != 0 && page.items.size() == range.limit) {
-            page.more = true;
+            page.hasMore = true;
             break;
         }
         page.items.push_back(row->second);
@@ -39,7 +39,7 @@
 
 WriteOutcome TableStore::write(const TableWrite &write)
 {
-    if (!this->permits(write))
+    if (!this->conditionHolds(write))
         return WriteOutcome::ConditionFailed;
     this->apply(write);
     return WriteOutcome::Applied;
@@ -50,7 +50,7 @@
     std::vector<WriteOutcome> outcomes;
     bool all = true;
     for (const TableWrite &write : writes) {
-        const bool permitted = this->permits(write);
+        const bool permitted = this->conditionHolds(write);
         outcomes.push_back(permitted ? WriteOutcome::Applied : WriteOutcome::ConditionFailed);
         all = all && permitted;
     }
@@ -61,9 +61,9 @@
     return outcomes;
 }
 
-bool TableStore::permits(const TableWrite &write) const
+bool TableStore::conditionHolds(const TableWrite &write) const
 {
-    return !write.condition || write.condition->holds(this->item(write.key));
+    return !write.condition || write.condition->isSatisfiedBy(this->find(write.key));
 }
 
 void TableStore::apply(const TableWrite &write)
--- a/Services/PlatformEmulator/TableStore.h
+++ b/Services/PlatformEmulator/TableStore.h
@@ -31,9 +31,9 @@
 struct QueryRange
 {
     std::string partition;
-    std::string first;                // Inclusive; empty means from the start.
-    std::optional<std::string> last;  // Inclusive; none means to the end.
-    std::optional<std::string> after; // Exclusive start of the next page, in the direction of reading.
+    std::string firstSort;                // Inclusive; empty means from the start.
+    std::optional<std::string> lastSort;  // Inclusive; none means to the end.
+    std::optional<std::string> afterSort; // Exclusive start of the next page, in the direction of reading.
     bool ascending = true;
     std::size_t limit = 0; // Zero means no limit.
 };
@@ -41,14 +41,14 @@
 struct QueryPage
 {
     std::vector<Item> items;
-    bool more = false; // The limit cut the page short.
+    bool hasMore = false; // The limit cut the page short.
 };
 
 class TableStore
 {
 public:
     // Returned pointers hold until the next write.
-    const Item *item(const ItemKey &key) const;
+    const Item *find(const ItemKey &key) const;
     QueryPage query(const QueryRange &range) const;
     std::size_t size() const { return this->items.size(); }
 
@@ -57,7 +57,7 @@
     std::vector<WriteOutcome> transact(const std::vector<TableWrite> &writes);
 
 private:
-    bool permits(const TableWrite &write) const;
+    bool conditionHolds(const TableWrite &write) const;
     void apply(const TableWrite &write);
 
     std::map<ItemKey, Item> items;
--- a/Services/RowsEmulator/Main.cpp
+++ b/Services/RowsEmulator/Main.cpp
@@ -18,8 +18,8 @@
 constexpr std::uint64_t maximumBodyBytes = 2'097'152; // A transaction of a megabyte, with its encoding.
 
 // The first port is everybody's; each further one is the door of single hosts, with faults of its own.
-std::vector<StorePort> portsOf(asio::io_context &context, const std::vector<std::string> &listen,
-                               const RowsServiceSettings &settings, FaultsSetHook faultsSet)
+std::vector<StorePort> makePorts(asio::io_context &context, const std::vector<std::string> &listen,
+                                 const RowsServiceSettings &settings, FaultsSetHook faultsSet)
 {
     const auto service = std::make_shared<RowsService>(context, settings, std::move(faultsSet));
     std::vector<StorePort> ports;
@@ -51,8 +51,8 @@
     if (const auto exitCode = readCommandLine(CommandLine{"", description, {}}, count, arguments, values))
         return *exitCode;
     listen.insert(listen.begin(), address);
-    return runStore("rows-emulator", maximumBodyBytes,
-                    [&](asio::io_context &context, FaultsSetHook faultsSet) {
-                        return portsOf(context, listen, settings, std::move(faultsSet));
-                    });
+    return runStoreProgram("rows-emulator", maximumBodyBytes,
+                           [&](asio::io_context &context, FaultsSetHook faultsSet) {
+                               return makePorts(context, listen, settings, std::move(faultsSet));
+                           });
 }
--- a/Services/RowsEmulator/RowsService.cpp
+++ b/Services/RowsEmulator/RowsService.cpp
@@ -65,22 +65,22 @@
         return exchange->drop();
     const FaultSettings &fault = this->faultsAt(door).settings();
     if (fault.down) {
-        if (fault.downAnswers)
+        if (fault.answerWhileDown)
             return this->answer(*exchange, makeResponse(503, "text/plain", "unavailable\n"));
         return exchange->drop();
     }
     const Result<RowsRequest> decoded = Platform::decodeRowsRequest(request);
     if (!decoded)
         return this->answer(*exchange, makeResponse(400, "text/plain", decoded.error().describe() + "\n"));
-    RateLimit &limit = decoded.value().call == RowsCall::Write ? this->writes : this->reads;
-    if (!limit.take(1, SteadyClock::now()))
+    RateLimiter &limit = decoded.value().call == RowsCall::Write ? this->writes : this->reads;
+    if (!limit.tryTake(1, SteadyClock::now()))
         return this->answer(*exchange, Platform::encodeThrottled());
     this->later(this->settings.answerTime + fault.delay,
                 [this, request = decoded.value(), exchange, door] { this->run(request, exchange, door); });
 }
 
 // A door that nobody came by yet is as the first one.
-Faults &RowsService::faultsAt(std::size_t door)
+FaultInjector &RowsService::faultsAt(std::size_t door)
 {
     return this->faults.try_emplace(door, this->faults[0]).first->second;
 }
@@ -119,7 +119,7 @@
         return this->commandEra(request.body);
     if (command != "faults")
         return plainText(404, "no such command");
-    const Result<FaultSettings> wanted = readFaults(request.body);
+    const Result<FaultSettings> wanted = parseFaultSettings(request.body);
     if (!wanted)
         return plainText(400, wanted.error().describe());
     if (door == 0)
@@ -256,18 +256,18 @@
 void RowsService::write(const RowsRequest &request, const std::shared_ptr<HttpExchange> &exchange,
                         std::size_t door)
 {
-    Faults &own = this->faultsAt(door);
-    const WriteFate fate = own.drawWriteFate();
-    if (fate == WriteFate::EffectLate) {
+    FaultInjector &own = this->faultsAt(door);
+    const WriteFault fault = own.drawWriteFault();
+    if (fault == WriteFault::AppliedLate) {
         exchange->drop();
-        return this->later(own.settings().lateBy, [this, request] {
+        return this->later(own.settings().lateWriteDelay, [this, request] {
             this->store.apply(request.writes);
             this->tellWatches();
         });
     }
     const auto refused = this->store.apply(request.writes);
     this->tellWatches();
-    if (fate == WriteFate::AnswerLost)
+    if (fault == WriteFault::AnswerLost)
         return exchange->drop();
     this->answer(*exchange, refused ? Platform::encodeConflict(*refused, this->store.newest())
                                     : Platform::encodeWriteSuccess(this->store.newest()));
--- a/Services/RowsEmulator/RowsService.h
+++ b/Services/RowsEmulator/RowsService.h
@@ -87,7 +87,7 @@
     void answer(HttpExchange &exchange, HttpResponse response) const;
     std::optional<std::vector<Platform::QualifiedRow>> changesAfter(const std::string &table,
                                                                     std::uint64_t revision) const;
-    Faults &faultsAt(std::size_t door);
+    FaultInjector &faultsAt(std::size_t door);
     void run(const Platform::RowsRequest &request, const std::shared_ptr<HttpExchange> &exchange,
              std::size_t door);
     void write(const Platform::RowsRequest &request, const std::shared_ptr<HttpExchange> &exchange,
@@ -108,9 +108,9 @@
     bool away = false;
     bool quiet = false;
     std::list<std::shared_ptr<Watch>> forgotten; // Kept only for their connections.
-    std::map<std::size_t, Faults> faults;        // By door.
-    RateLimit writes;
-    RateLimit reads;
+    std::map<std::size_t, FaultInjector> faults; // By door.
+    RateLimiter writes;
+    RateLimiter reads;
     std::list<std::shared_ptr<Watch>> watches;
 };
 
--- a/Tests/Emulators/FakeExchange.h
+++ b/Tests/Emulators/FakeExchange.h
@@ -16,29 +16,32 @@
     {
         if (!this->dropped && !this->response)
             this->response = std::move(response);
-        this->hook =
+        this->disconnectHook =
             nullptr; // As a connection does: the hook may keep the call alive that holds the exchange.
     }
     void drop() override
     {
         this->dropped = true;
-        this->hook = nullptr;
+        this->disconnectHook = nullptr;
+    }
+    void onCallerDisconnected(std::function<void()> disconnectHook) override
+    {
+        this->disconnectHook = std::move(disconnectHook);
     }
-    void onCallerDisconnected(std::function<void()> hook) override { this->hook = std::move(hook); }
 
-    void abandon()
+    void disconnectCaller()
     {
         this->dropped = true;
-        const std::function<void()> gone = std::exchange(this->hook, nullptr);
-        if (gone)
-            gone();
+        const std::function<void()> onDisconnect = std::exchange(this->disconnectHook, nullptr);
+        if (onDisconnect)
+            onDisconnect();
     }
 
     std::optional<HttpResponse> response;
     bool dropped = false;
 
 private:
-    std::function<void()> hook;
+    std::function<void()> disconnectHook;
 };
 
 } // namespace Sagecrank
--- a/Tests/Emulators/TestPlatformService.cpp
+++ b/Tests/Emulators/TestPlatformService.cpp
@@ -13,14 +13,14 @@
 namespace {
 
 // A platform with a clock and timers of the test's own.
-class Platform
+class PlatformFixture
 {
 public:
-    explicit Platform(PlatformSettings settings = {})
+    explicit PlatformFixture(PlatformSettings settings = {})
         : service(
             settings,
             [this](Milliseconds, std::function<void()> step) { this->delayed.push_back(std::move(step)); },
-            [this] { return this->now; }, [this](std::string_view json) { this->faultsSeen = json; })
+            [this] { return this->now; }, [this](std::string_view json) { this->reportedFaults = json; })
     {
     }
 
@@ -41,7 +41,7 @@
         const auto exchange = this->send("GET", "/bucket/key", "");
         return exchange->response && exchange->response->status == 200;
     }
-    void fault(std::string json)
+    void setFaults(std::string json)
     {
         cr_assert(this->send("POST", "/emulator/faults", std::move(json))->response->status == 200);
     }
@@ -56,40 +56,40 @@
 
     Instant now{std::chrono::seconds(1000)};
     std::deque<std::function<void()>> delayed;
-    std::string faultsSeen; // The last change that the service told of.
+    std::string reportedFaults; // The last change that the service told of.
     PlatformService service;
 };
 
-enum class Seen { Answer200, Answer500, Answer503, Closed, Nothing };
+enum class CallerResult { Answer200, Answer500, Answer503, Closed, Nothing };
 
 struct FaultRow
 {
     const char *faults;
-    Seen seenAtOnce;
-    bool effectAtOnce;
-    bool effectLater; // After every delay has passed.
+    CallerResult callerResult;
+    bool storedAtOnce;
+    bool storedAfterDelays; // After every delay has passed.
 };
 
 const FaultRow faultRows[] = {
-    {"{}", Seen::Answer200, true, true},
-    {R"({"down":true})", Seen::Closed, false, false},
-    {R"({"down":true,"down_answers":true})", Seen::Answer503, false, false},
-    {R"({"lose_answers":1})", Seen::Closed, true, true},
-    {R"({"late_writes":1})", Seen::Closed, false, true},
-    {R"({"reject_writes":true})", Seen::Answer500, false, false},
-    {R"({"delay_ms":50})", Seen::Nothing, false, true},
-    {R"({"answer_delay_ms":50})", Seen::Nothing, true, true},
+    {"{}", CallerResult::Answer200, true, true},
+    {R"({"down":true})", CallerResult::Closed, false, false},
+    {R"({"down":true,"down_answers":true})", CallerResult::Answer503, false, false},
+    {R"({"lose_answers":1})", CallerResult::Closed, true, true},
+    {R"({"late_writes":1})", CallerResult::Closed, false, true},
+    {R"({"reject_writes":true})", CallerResult::Answer500, false, false},
+    {R"({"delay_ms":50})", CallerResult::Nothing, false, true},
+    {R"({"answer_delay_ms":50})", CallerResult::Nothing, true, true},
 };
 
-Seen seen(const FakeExchange &exchange)
+CallerResult callerResult(const FakeExchange &exchange)
 {
     if (exchange.dropped)
-        return Seen::Closed;
+        return CallerResult::Closed;
     if (!exchange.response)
-        return Seen::Nothing;
+        return CallerResult::Nothing;
     if (exchange.response->status == 500)
-        return Seen::Answer500;
-    return exchange.response->status == 503 ? Seen::Answer503 : Seen::Answer200;
+        return CallerResult::Answer500;
+    return exchange.response->status == 503 ? CallerResult::Answer503 : CallerResult::Answer200;
 }
 
 const char *const badFaults[] = {
@@ -107,73 +107,74 @@
 
 TABLE_TEST(platformService, faults, faultRows)
 {
-    Platform platform;
-    platform.fault(row.faults);
+    PlatformFixture platform;
+    platform.setFaults(row.faults);
     const auto exchange = platform.put();
-    cr_assert(seen(*exchange) == row.seenAtOnce, "%s", row.faults);
+    cr_assert(callerResult(*exchange) == row.callerResult, "%s", row.faults);
     const auto waiting = std::exchange(platform.delayed, {});
-    platform.fault("{}");
-    cr_assert(platform.stored() == row.effectAtOnce, "%s", row.faults);
+    platform.setFaults("{}");
+    cr_assert(platform.stored() == row.storedAtOnce, "%s", row.faults);
     platform.delayed = waiting;
     platform.runDelayed();
-    cr_assert(platform.stored() == row.effectLater, "%s", row.faults);
+    cr_assert(platform.stored() == row.storedAfterDelays, "%s", row.faults);
 }
 
-Test(platformService, faultsThatDoNotCheckAreRefused)
+Test(platformService, invalidFaultsAreRejected)
 {
-    Platform platform;
+    PlatformFixture platform;
     for (const char *faults : badFaults)
         cr_assert(platform.send("POST", "/emulator/faults", faults)->response->status == 400, "%s", faults);
-    cr_assert(platform.faultsSeen.empty(), "what is refused is not told of");
+    cr_assert(platform.reportedFaults.empty(), "what is refused is not told of");
 }
 
 // The caller gives its write up and closes the connection while the platform is slow. The write still takes
 // effect afterwards, so that "no answer" never means "no effect".
-Test(platformService, aWriteThatWasGivenUpOnStillLands)
+Test(platformService, writeIsAppliedAfterTheCallerDisconnects)
 {
-    Platform platform;
-    platform.fault(R"({"delay_ms":500})");
+    PlatformFixture platform;
+    platform.setFaults(R"({"delay_ms":500})");
     const auto exchange = platform.put();
-    exchange->abandon();
+    exchange->disconnectCaller();
     platform.runDelayed();
-    platform.fault("{}");
+    platform.setFaults("{}");
     cr_assert(platform.stored());
 }
 
-Test(platformService, theSameSeedLosesTheSameAnswers)
+Test(platformService, sameSeedLosesTheSameAnswers)
 {
-    std::string fates[2];
-    for (std::string &fate : fates) {
-        Platform platform;
-        platform.fault(R"({"lose_answers":0.5,"seed":42})");
+    std::string resultsOfRun[2];
+    for (std::string &results : resultsOfRun) {
+        PlatformFixture platform;
+        platform.setFaults(R"({"lose_answers":0.5,"seed":42})");
         for (int count = 0; count < 64; ++count)
-            fate += platform.put()->dropped ? 'x' : '.';
+            results += platform.put()->dropped ? 'x' : '.';
     }
-    cr_assert(fates[0] == fates[1]);
-    cr_assert(fates[0].find('x') != std::string::npos && fates[0].find('.') != std::string::npos);
+    cr_assert(resultsOfRun[0] == resultsOfRun[1]);
+    cr_assert(resultsOfRun[0].find('x') != std::string::npos
+              && resultsOfRun[0].find('.') != std::string::npos);
 }
 
-Test(platformService, ratesAreBoundedAndRecover)
+Test(platformService, rateLimitRefillsUpToOneSecond)
 {
-    Platform platform(PlatformSettings{10, 20});
-    int taken = 0;
+    PlatformFixture platform(PlatformSettings{10, 20});
+    int accepted = 0;
     for (int count = 0; count < 30; ++count)
-        taken += seen(*platform.put()) == Seen::Answer200 ? 1 : 0;
-    cr_assert(taken == 10, "%d", taken);
+        accepted += callerResult(*platform.put()) == CallerResult::Answer200 ? 1 : 0;
+    cr_assert(accepted == 10, "%d", accepted);
     cr_assert(platform.stored(), "reads have a limit of their own");
     platform.now += Milliseconds(500);
     for (int count = 0; count < 30; ++count)
-        taken += seen(*platform.put()) == Seen::Answer200 ? 1 : 0;
-    cr_assert(taken == 15, "%d", taken);
+        accepted += callerResult(*platform.put()) == CallerResult::Answer200 ? 1 : 0;
+    cr_assert(accepted == 15, "%d", accepted);
     platform.now += std::chrono::hours(1);
     for (int count = 0; count < 30; ++count)
-        taken += seen(*platform.put()) == Seen::Answer200 ? 1 : 0;
-    cr_assert(taken == 25, "at most one second's worth is saved up: %d", taken);
+        accepted += callerResult(*platform.put()) == CallerResult::Answer200 ? 1 : 0;
+    cr_assert(accepted == 25, "at most one second's worth is saved up: %d", accepted);
 }
 
-Test(platformService, objectsAnswerAsTheStoreDoes)
+Test(platformService, objectResponsesFollowTheProtocol)
 {
-    Platform platform;
+    PlatformFixture platform;
     const auto missing = platform.send("GET", "/bucket/none", "");
     cr_assert(missing->response->status == 404
               && missing->response->body.find("NoSuchKey") != std::string::npos);
@@ -187,9 +188,9 @@
     cr_assert(platform.send("PATCH", "/bucket/key", "x")->response->status == 405);
 }
 
-Test(platformService, countersTellReadsFromWrites)
+Test(platformService, countersSeparateReadsAndWrites)
 {
-    Platform platform;
+    PlatformFixture platform;
     platform.put();
     platform.stored();
     platform.stored();
--- a/Tests/Emulators/TestTableApi.cpp
+++ b/Tests/Emulators/TestTableApi.cpp
@@ -10,7 +10,7 @@
 
 HttpResponse send(TableApi &api, std::string_view operation, std::string_view body)
 {
-    return api.operation("DynamoDB_20120810." + std::string(operation), body).apply();
+    return api.parseRequest("DynamoDB_20120810." + std::string(operation), body).apply();
 }
 
 bool contains(const HttpResponse &response, std::string_view text)
@@ -126,7 +126,7 @@
     cr_assert(contains(held, R"("new")") == row.holds, "the item changed only if the condition held");
 }
 
-Test(tableApi, conditionsThatDoNotParseChangeNothing)
+Test(tableApi, invalidConditionsAreRejected)
 {
     for (const char *condition : badConditions) {
         TableApi api;
@@ -152,7 +152,7 @@
     cr_assert(contains(response, row.answer), "%s", response.body.c_str());
 }
 
-Test(tableApi, aTransactionAppliesAsAWholeOrNotAtAll)
+Test(tableApi, transactionIsAtomic)
 {
     TableApi api;
     HttpResponse response = send(api, "TransactWriteItems", guardedClaim);
@@ -169,7 +169,7 @@
 
 // A caller whose answer was lost sends the same transaction again. Without the token the second one would
 // fail on its own first effect, and the caller would believe that somebody else had won.
-Test(tableApi, theSameTokenAgainAnswersTheSame)
+Test(tableApi, repeatedTokenReturnsTheSameResponse)
 {
     TableApi api;
     send(api, "PutItem", putHead);
@@ -180,7 +180,7 @@
     cr_assert(contains(send(api, "TransactWriteItems", other), "IdempotentParameterMismatchException"));
 }
 
-Test(tableApi, aFailedConditionGivesTheHeldItemBackOnRequest)
+Test(tableApi, failedConditionReturnsTheExistingItemOnRequest)
 {
     TableApi api;
     send(api, "PutItem", putHead);
@@ -190,7 +190,7 @@
     cr_assert(contains(response, R"("owner":{"S":"a"})"), "%s", response.body.c_str());
 }
 
-Test(tableApi, queryReadsPagesInBothDirections)
+Test(tableApi, queryReturnsPagesInDescendingOrder)
 {
     TableApi api;
     for (const char *sort : {"3", "1", "2", "4"})
--- a/Tests/Emulators/TestUpstream.cpp
+++ b/Tests/Emulators/TestUpstream.cpp
@@ -179,7 +179,7 @@
     cr_assert(!hung->response && !waits->response);
     cr_assert(notRun(*shed));
     cr_assert(upstream.events("upstream.began") == 1, "neither the waiting nor the shed call has begun");
-    hung->abandon();
+    hung->disconnectCaller();
     upstream.poll();
     cr_assert(waits->response && waits->response->status == 200, "the slot of the cancelled call went on");
     cr_assert(upstream.service.report().running == 0);
@@ -191,8 +191,8 @@
     upstream.fault(R"({"hang_share":1})");
     const auto hung = upstream.call();
     const auto waits = upstream.call();
-    waits->abandon();
-    hung->abandon();
+    waits->disconnectCaller();
+    hung->disconnectCaller();
     upstream.poll();
     cr_assert(upstream.events("upstream.began") == 1);
     cr_assert(upstream.service.report().running == 0 && upstream.service.report().waiting == 0);
