--- a/Services/PlatformEmulator/Condition.cpp
+++ b/Services/PlatformEmulator/Condition.cpp
@@ -1,4 +1,4 @@
-// Parses condition expressions by recursive descent: or-terms of and-terms of predicates.
+// Recursive-descent parser for condition expressions: OR binds weaker than AND, AND weaker than NOT.
 #include <PlatformEmulator/Condition.h>
 
 #include <cctype>
--- a/Services/PlatformEmulator/Condition.h
+++ b/Services/PlatformEmulator/Condition.h
@@ -1,4 +1,4 @@
-// The subset of the platform's condition expressions that the system uses: attribute_exists(a),
+// The subset of DynamoDB's condition expressions that the system uses: attribute_exists(a),
 // attribute_not_exists(a), comparisons of an attribute with a value, AND, OR, NOT and parentheses.
 #pragma once
 
@@ -16,7 +16,7 @@
 struct AttributeValue
 {
     AttributeType type = AttributeType::String;
-    std::string text; // Numbers are kept as they were written and compared by value.
+    std::string text; // Numbers keep their original spelling and are compared by value.
 
     bool operator==(const AttributeValue &) const = default;
 };
@@ -25,17 +25,17 @@
 
 struct ExpressionAttributes
 {
-    std::map<std::string, std::string, std::less<>> names;     // "#n" to the attribute's name.
-    std::map<std::string, AttributeValue, std::less<>> values; // ":v" to a value.
+    std::map<std::string, std::string, std::less<>> names;     // "#n" to attribute name.
+    std::map<std::string, AttributeValue, std::less<>> values; // ":v" to value.
 };
 
 class Condition
 {
 public:
-    // Errors: InvalidInput with the place where the expression stops making sense.
+    // Fails with InvalidInput, naming the unexpected token.
     static Result<Condition> parse(std::string_view expression, const ExpressionAttributes &attributes);
 
-    // A null item is one that is not there; every comparison with it is false.
+    // A null item does not exist; every comparison with it is false.
     bool isSatisfiedBy(const Item *item) const { return this->predicate(item); }
 
 private:
--- a/Services/PlatformEmulator/Faults.cpp
+++ b/Services/PlatformEmulator/Faults.cpp
@@ -1,4 +1,4 @@
-// Draws faults from a seeded generator, so that a run can be repeated.
+// Parses fault settings and draws faults from a seeded generator, so that a run can be reproduced.
 #include <PlatformEmulator/Faults.h>
 
 #include <boost/json.hpp>
--- a/Services/PlatformEmulator/Faults.h
+++ b/Services/PlatformEmulator/Faults.h
@@ -1,5 +1,5 @@
-// The platform's bad behaviour, switched on by command, and its limits. Decides without sockets or clocks:
-// the service asks what becomes of each request.
+// Fault injection and rate limiting for the emulated stores. Uses neither sockets nor clocks: the service
+// asks for a decision on each request.
 #pragma once
 
 #include <LibCore/Error.h>
@@ -14,17 +14,18 @@
 struct FaultSettings
 {
     bool down = false;
-    bool answerWhileDown = false; // While down: answer 503; otherwise connections are closed.
-    Milliseconds delay{0};        // Before the effect of every request.
-    Milliseconds answerDelay{0};  // Between the effect and its answer.
-    double lostAnswerShare = 0;   // Share of writes that take effect and whose connection is then closed.
-    double lateWriteShare = 0; // Share of writes whose connection is closed first and that take effect later.
-    Milliseconds lateWriteDelay{1000}; // How much later.
-    bool rejectWrites = false;         // Writes fail for certain; reads work.
+    bool answerWhileDown = false; // While down, respond with 503 instead of closing the connection.
+    Milliseconds delay{0};        // Before a request is applied.
+    Milliseconds answerDelay{0};  // Between applying a request and responding.
+    double lostAnswerShare =
+        0;                     // Share of writes that are applied but get no response: the connection closes.
+    double lateWriteShare = 0; // Share of writes whose connection closes before they are applied.
+    Milliseconds lateWriteDelay{1000}; // From closing the connection to applying the write.
+    bool rejectWrites = false;         // Every write fails without being applied; reads work.
     std::uint64_t seed = 1;
 };
 
-// Reads the JSON of POST /emulator/faults. A key that is left out has its default, so "{}" mends everything.
+// Parses the body of POST /emulator/faults. Missing keys take their defaults, so "{}" clears all faults.
 Result<FaultSettings> parseFaultSettings(std::string_view json);
 
 enum class WriteFault { None, AnswerLost, AppliedLate };
@@ -42,8 +43,8 @@
     std::mt19937_64 random{1};
 };
 
-// A token bucket: `rate` units a second, at most one second's worth saved up. A request that finds fewer
-// than it needs is refused, as the platform does; nothing waits.
+// A token bucket that refills at `rate` units per second and holds at most one second's worth. Requests that
+// exceed it are rejected rather than queued, as on the platform.
 class RateLimiter
 {
 public:
--- a/Services/PlatformEmulator/Main.cpp
+++ b/Services/PlatformEmulator/Main.cpp
@@ -1,5 +1,5 @@
-// sagecrank-platform-emulator: stands in for the platform's table service and object store in tests and on
-// a developer's machine. Keeps everything in memory and forgets it when it ends.
+// sagecrank-platform-emulator: emulates the platform's table service and object store for tests and local
+// development. All data is kept in memory and lost when the process exits.
 #include <PlatformEmulator/PlatformService.h>
 #include <PlatformEmulator/StoreProgram.h>
 
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr std::uint64_t maximumObjectBytes = 16'777'216; // A section of configuration is far smaller.
+constexpr std::uint64_t maximumObjectBytes = 16'777'216; // Far above the size of a configuration section.
 
 void runAfter(asio::io_context &context, Milliseconds delay, std::function<void()> step)
 {
--- a/Services/PlatformEmulator/ObjectApi.cpp
+++ b/Services/PlatformEmulator/ObjectApi.cpp
@@ -1,4 +1,4 @@
-// Puts, gets and deletes of objects.
+// Parses object requests and applies them to the in-memory objects.
 #include <PlatformEmulator/ObjectApi.h>
 
 #include <xxhash.h>
--- a/Services/PlatformEmulator/ObjectApi.h
+++ b/Services/PlatformEmulator/ObjectApi.h
@@ -1,4 +1,4 @@
-// The platform's object store: the path-style subset of S3's REST protocol that the system uses.
+// The object store: the path-style subset of S3's REST protocol that the system uses.
 #pragma once
 
 #include <PlatformEmulator/Operation.h>
@@ -23,7 +23,7 @@
     struct Object
     {
         std::string content;
-        std::string etag; // The quoted ETag; equal content has an equal one.
+        std::string etag; // Quoted; equal content has an equal ETag.
     };
 
     HttpResponse put(const std::string &path, const std::string &content);
--- a/Services/PlatformEmulator/Operation.h
+++ b/Services/PlatformEmulator/Operation.h
@@ -1,5 +1,5 @@
-// One request to the platform after it was read: what it costs and what it does. Reading a request and
-// doing it are apart, because limits, delays and lost answers come between the two.
+// A parsed request: its cost and its effect. Parsing and applying are separate steps because rate limits,
+// delays and lost responses are decided between them.
 #pragma once
 
 #include <LibNet/HttpMessages.h>
@@ -12,7 +12,7 @@
 struct Operation
 {
     bool isWrite = false;
-    std::uint32_t units = 1; // Items read or written; what the limits count.
+    std::uint32_t units = 1; // Items read or written, counted by the rate limits.
     std::function<HttpResponse()> apply;
 };
 
--- a/Services/PlatformEmulator/PlatformService.cpp
+++ b/Services/PlatformEmulator/PlatformService.cpp
@@ -1,4 +1,4 @@
-// The order in which a request meets control paths, outage, limits, rejection, delay, effect and answer.
+// The stages of a request in order: control paths, outage, rate limit, rejection, delay, applying, response.
 #include <PlatformEmulator/PlatformService.h>
 
 #include <boost/json.hpp>
@@ -128,7 +128,7 @@
         this->applyAndRespond(exchange, operation, fault, count);
         return;
     }
-    // The effect does not depend on whether the caller still waits: a write that was given up on still lands.
+    // A write is applied even if the caller has disconnected in the meantime.
     this->runAfter(delay, [this, exchange, operation = std::move(operation), fault, &count] {
         this->applyAndRespond(exchange, operation, fault, count);
     });
--- a/Services/PlatformEmulator/PlatformService.h
+++ b/Services/PlatformEmulator/PlatformService.h
@@ -1,4 +1,4 @@
-// The platform's front: takes each HTTP request through faults and limits to the table or the object store.
+// Routes each HTTP request through fault injection and rate limits to the table or the object store.
 #pragma once
 
 #include <LibNet/HttpServer.h>
@@ -16,7 +16,7 @@
 
 struct PlatformSettings
 {
-    double writeRate = 500; // Units a second; "several hundred".
+    double writeRate = 500; // Units per second; the platform states "several hundred".
     double readRate = 2000;
 };
 
@@ -41,14 +41,14 @@
     std::uint64_t lateWrites = 0;
 };
 
-// Runs on one thread.
+// Not thread-safe.
 class PlatformService
 {
 public:
-    // Runs the step after the delay, on the service's thread.
+    // Calls `step` on the service's thread after `delay`.
     using RunAfter = std::function<void(Milliseconds delay, std::function<void()> step)>;
     using Now = std::function<Instant()>;
-    using FaultsSet = std::function<void(std::string_view json)>; // Told of each change by command.
+    using FaultsSet = std::function<void(std::string_view json)>; // Called with each new fault setting.
 
     PlatformService(PlatformSettings settings, RunAfter runAfter, Now now, FaultsSet faultsSet);
 
@@ -67,7 +67,7 @@
     Now now;
     FaultsSet faultsSet;
     FaultInjector faults;
-    RateLimiter writes; // Shared by table and objects: the stricter reading of the platform's limit.
+    RateLimiter writes; // Shared by table and objects, the stricter interpretation of the platform's limit.
     RateLimiter reads;
     TableApi tableApi;
     ObjectApi objectApi;
--- a/Services/PlatformEmulator/StoreProgram.cpp
+++ b/Services/PlatformEmulator/StoreProgram.cpp
@@ -1,4 +1,4 @@
-// Serves the ports of a store on one thread.
+// Serves a store's ports on one thread until a signal arrives.
 #include <PlatformEmulator/StoreProgram.h>
 
 #include <LibCommandLine/CommandLine.h>
--- a/Services/PlatformEmulator/StoreProgram.h
+++ b/Services/PlatformEmulator/StoreProgram.h
@@ -1,5 +1,4 @@
-// What the stand-ins of stores have in common as programs: they listen, say that they are ready, and end on a
-// signal.
+// The main loop that the store emulators share: listen, log readiness, stop on a signal.
 #pragma once
 
 #include <LibNet/HttpServer.h>
@@ -20,11 +19,11 @@
     HttpHandler handler;
 };
 
-// Given where to tell of faults that were set by command. What the handlers use is kept alive by them.
+// Receives the hook that logs changed fault settings. The handlers own whatever they use.
 using FaultsSetHook = std::function<void(std::string_view json)>;
 using MakeStorePorts = std::function<std::vector<StorePort>(boost::asio::io_context &, FaultsSetHook)>;
 
-// Serves until SIGINT or SIGTERM; the exit code of the process.
+// Serves until SIGINT or SIGTERM and returns the exit code of the process.
 int runStoreProgram(const std::string &process, std::uint64_t maximumBodyBytes,
                     const MakeStorePorts &makePorts);
 
--- a/Services/PlatformEmulator/TableApi.cpp
+++ b/Services/PlatformEmulator/TableApi.cpp
@@ -1,4 +1,4 @@
-// Reads the table's JSON requests and writes its JSON answers.
+// Parses the table's JSON requests and encodes its JSON responses.
 #include <PlatformEmulator/TableApi.h>
 
 #include <boost/json.hpp>
@@ -16,7 +16,7 @@
 constexpr std::string_view targetPrefix = "DynamoDB_20120810.";
 constexpr std::string_view errorPrefix = "com.amazonaws.dynamodb.v20120810#";
 constexpr const char *contentType = "application/x-amz-json-1.0";
-constexpr std::size_t maximumTransactionItems = 100; // The platform's own limit.
+constexpr std::size_t maximumTransactionItems = 100; // DynamoDB's limit.
 constexpr std::size_t maximumBatchKeys = 100;
 constexpr std::size_t maximumCompletedTransactions = 100'000;
 
@@ -121,7 +121,7 @@
 {
     std::string table;
     TableWrite write;
-    bool returnExistingItem = false; // Give the item that failed the condition back.
+    bool returnExistingItem = false; // Include the item that failed the condition in the response.
 };
 
 Result<ParsedWrite> parseWrite(const json::object &request, WriteKind kind)
@@ -183,7 +183,8 @@
     return result;
 }
 
-// "pk = :p" alone, or with "AND sk <relation> :s", "AND begins_with(sk, :s)" or "AND sk BETWEEN :a AND :b".
+// Accepts "pk = :p" alone, or with "AND sk <relation> :s", "AND begins_with(sk, :s)" or "AND sk BETWEEN :a
+// AND :b".
 Result<QueryRange> parseKeyCondition(const json::object &request)
 {
     const ExpressionAttributes attributes = TRY(parseExpressionAttributes(request));
@@ -267,7 +268,7 @@
 
 } // namespace
 
-// Reads one request against the API's tables; kept apart so that the header needs no JSON.
+// Parses one request for the API's tables. Separate from TableApi so that its header does not include JSON.
 class TableRequestParser
 {
 public:
--- a/Services/PlatformEmulator/TableApi.h
+++ b/Services/PlatformEmulator/TableApi.h
@@ -1,5 +1,5 @@
-// The table's JSON protocol: the subset of DynamoDB's API that the system uses. Reads a request into an
-// Operation; the operation's answer is the protocol's JSON.
+// The table's JSON protocol: the subset of DynamoDB's API that the system uses. Parses a request into an
+// Operation, which responds in the protocol's JSON.
 #pragma once
 
 #include <PlatformEmulator/Operation.h>
@@ -15,8 +15,8 @@
 class TableApi
 {
 public:
-    // `target` is the X-Amz-Target field. A request that does not check becomes a read whose answer is the
-    // protocol's ValidationException.
+    // `target` is the X-Amz-Target header. An invalid request becomes a read that responds with the
+    // protocol's error, such as ValidationException.
     Operation parseRequest(std::string_view target, std::string_view body);
 
     static HttpResponse errorResponse(std::string_view type, std::string_view message, unsigned status = 400);
@@ -35,8 +35,8 @@
                            const std::function<HttpResponse()> &apply);
 
     std::map<std::string, TableStore> tables;
-    // Transactions that carried a token and took effect: the same token again answers the same and writes
-    // nothing. Bounded by dropping the oldest.
+    // Applied transactions by their client request token. A repeated token gets the recorded response and
+    // writes nothing. The oldest entries are evicted.
     std::map<std::string, CompletedTransaction> completedTransactions;
     std::deque<std::string> completionOrder;
 };
--- a/Services/PlatformEmulator/TableStore.cpp
+++ b/Services/PlatformEmulator/TableStore.cpp
@@ -1,4 +1,4 @@
-// Reads and writes of the table.
+// Queries, conditional writes and transactions.
 #include <PlatformEmulator/TableStore.h>
 
 #include <algorithm>
--- a/Services/PlatformEmulator/TableStore.h
+++ b/Services/PlatformEmulator/TableStore.h
@@ -1,6 +1,5 @@
-// The table of the platform's transactional service, in memory: items under two-part keys, conditions, and
-// transactions that apply as a whole or not at all. It has no sockets and no clock; one thread uses it, so
-// every operation is serializable.
+// An in-memory table with two-part keys, conditional writes and atomic transactions. It uses neither sockets
+// nor clocks. It is used from one thread, so all operations are serializable.
 #pragma once
 
 #include <PlatformEmulator/Condition.h>
@@ -22,8 +21,8 @@
 {
     WriteKind kind = WriteKind::Put;
     ItemKey key;
-    Item item;                          // Only for Put; holds the key's attributes too.
-    std::optional<Condition> condition; // Judged against the item as it stands before the write.
+    Item item;                          // Only for Put; includes the key attributes.
+    std::optional<Condition> condition; // Evaluated against the item before the write.
 };
 
 enum class WriteOutcome { Applied, ConditionFailed };
@@ -33,7 +32,7 @@
     std::string partition;
     std::string firstSort;                // Inclusive; empty means from the start.
     std::optional<std::string> lastSort;  // Inclusive; none means to the end.
-    std::optional<std::string> afterSort; // Exclusive start of the next page, in the direction of reading.
+    std::optional<std::string> afterSort; // Exclusive start of the page, in reading order.
     bool ascending = true;
     std::size_t limit = 0; // Zero means no limit.
 };
@@ -41,19 +40,19 @@
 struct QueryPage
 {
     std::vector<Item> items;
-    bool hasMore = false; // The limit cut the page short.
+    bool hasMore = false; // The limit was reached before the end of the range.
 };
 
 class TableStore
 {
 public:
-    // Returned pointers hold until the next write.
+    // The returned pointer is valid until the next write; null if there is no such item.
     const Item *find(const ItemKey &key) const;
     QueryPage query(const QueryRange &range) const;
     std::size_t size() const { return this->items.size(); }
 
     WriteOutcome write(const TableWrite &write);
-    // One outcome per write; the writes were applied only if every one says Applied.
+    // Returns one outcome per write. The writes are applied only if every outcome is Applied.
     std::vector<WriteOutcome> transact(const std::vector<TableWrite> &writes);
 
 private:
--- a/Tests/Emulators/FakeExchange.h
+++ b/Tests/Emulators/FakeExchange.h
@@ -1,4 +1,4 @@
-// An exchange without a socket: remembers what became of it.
+// An HttpExchange without a socket that records the response or the drop.
 #pragma once
 
 #include <LibNet/HttpServer.h>
@@ -17,7 +17,7 @@
         if (!this->dropped && !this->response)
             this->response = std::move(response);
         this->disconnectHook =
-            nullptr; // As a connection does: the hook may keep the call alive that holds the exchange.
+            nullptr; // As a real connection does: the hook may own the call that owns this exchange.
     }
     void drop() override
     {
--- a/Tests/Emulators/TestPlatformService.cpp
+++ b/Tests/Emulators/TestPlatformService.cpp
@@ -1,5 +1,5 @@
-// The platform's outages and limits: what the caller sees and what is true afterwards differ, and that
-// difference is what the system has to live with.
+// Fault injection and rate limits of the platform emulator. Under faults the caller's result and the stored
+// state differ; the tests check both.
 #include "FakeExchange.h"
 
 #include <PlatformEmulator/PlatformService.h>
@@ -12,7 +12,7 @@
 
 namespace {
 
-// A platform with a clock and timers of the test's own.
+// A platform service with a manual clock and manually run timers.
 class PlatformFixture
 {
 public:
@@ -56,21 +56,21 @@
 
     Instant now{std::chrono::seconds(1000)};
     std::deque<std::function<void()>> delayed;
-    std::string reportedFaults; // The last change that the service told of.
+    std::string reportedFaults; // The last fault settings that the service reported.
     PlatformService service;
 };
 
 enum class CallerResult { Answer200, Answer500, Answer503, Closed, Nothing };
 
-struct FaultRow
+struct FaultCase
 {
     const char *faults;
     CallerResult callerResult;
     bool storedAtOnce;
-    bool storedAfterDelays; // After every delay has passed.
+    bool storedAfterDelays; // After every delayed step ran.
 };
 
-const FaultRow faultRows[] = {
+const FaultCase faultCases[] = {
     {"{}", CallerResult::Answer200, true, true},
     {R"({"down":true})", CallerResult::Closed, false, false},
     {R"({"down":true,"down_answers":true})", CallerResult::Answer503, false, false},
@@ -105,16 +105,16 @@
 
 } // namespace
 
-TABLE_TEST(platformService, faults, faultRows)
+TABLE_TEST(platformService, faults, faultCases)
 {
     PlatformFixture platform;
     platform.setFaults(row.faults);
     const auto exchange = platform.put();
     cr_assert(callerResult(*exchange) == row.callerResult, "%s", row.faults);
-    const auto waiting = std::exchange(platform.delayed, {});
+    const auto delayedSteps = std::exchange(platform.delayed, {});
     platform.setFaults("{}");
     cr_assert(platform.stored() == row.storedAtOnce, "%s", row.faults);
-    platform.delayed = waiting;
+    platform.delayed = delayedSteps;
     platform.runDelayed();
     cr_assert(platform.stored() == row.storedAfterDelays, "%s", row.faults);
 }
@@ -124,11 +124,11 @@
     PlatformFixture platform;
     for (const char *faults : badFaults)
         cr_assert(platform.send("POST", "/emulator/faults", faults)->response->status == 400, "%s", faults);
-    cr_assert(platform.reportedFaults.empty(), "what is refused is not told of");
+    cr_assert(platform.reportedFaults.empty(), "rejected settings are not reported");
 }
 
-// The caller gives its write up and closes the connection while the platform is slow. The write still takes
-// effect afterwards, so that "no answer" never means "no effect".
+// The caller disconnects while the platform is slow, and the write is still applied afterwards. Guards
+// against an emulator that lets callers treat a missing response as a write that was not applied.
 Test(platformService, writeIsAppliedAfterTheCallerDisconnects)
 {
     PlatformFixture platform;
@@ -161,7 +161,7 @@
     for (int count = 0; count < 30; ++count)
         accepted += callerResult(*platform.put()) == CallerResult::Answer200 ? 1 : 0;
     cr_assert(accepted == 10, "%d", accepted);
-    cr_assert(platform.stored(), "reads have a limit of their own");
+    cr_assert(platform.stored(), "reads have a separate limit");
     platform.now += Milliseconds(500);
     for (int count = 0; count < 30; ++count)
         accepted += callerResult(*platform.put()) == CallerResult::Answer200 ? 1 : 0;
@@ -169,7 +169,7 @@
     platform.now += std::chrono::hours(1);
     for (int count = 0; count < 30; ++count)
         accepted += callerResult(*platform.put()) == CallerResult::Answer200 ? 1 : 0;
-    cr_assert(accepted == 25, "at most one second's worth is saved up: %d", accepted);
+    cr_assert(accepted == 25, "the burst is limited to one second's worth: %d", accepted);
 }
 
 Test(platformService, objectResponsesFollowTheProtocol)
--- a/Tests/Emulators/TestTableApi.cpp
+++ b/Tests/Emulators/TestTableApi.cpp
@@ -1,5 +1,5 @@
-// The table's protocol as the system relies on it: conditions decide, transactions apply as a whole or not
-// at all, and a transaction's token makes a repeated one harmless.
+// The table's protocol as the system relies on it: conditional writes, atomic transactions, and transactions
+// made idempotent by a client request token.
 #include <PlatformEmulator/TableApi.h>
 
 #include <Support/TableTest.h>
@@ -21,13 +21,13 @@
 constexpr const char *putHead = R"({"TableName":"t","Item":{"pk":{"S":"head"},"sk":{"S":"head"},
     "version":{"N":"7"},"owner":{"S":"a"}}})";
 
-struct ConditionRow
+struct ConditionCase
 {
     const char *condition;
-    bool holds; // Against the item that putHead wrote.
+    bool holds; // For the item that putHead writes.
 };
 
-const ConditionRow conditionRows[] = {
+const ConditionCase conditionCases[] = {
     {"attribute_exists(pk)", true},
     {"attribute_not_exists(pk)", false},
     {"attribute_not_exists(missing)", true},
@@ -59,15 +59,15 @@
     "version = :seven OR",
 };
 
-struct RequestRow
+struct RequestCase
 {
     const char *operation;
     const char *body;
     unsigned status;
-    const char *answer; // Part of it.
+    const char *answer; // A substring of the body.
 };
 
-const RequestRow requestRows[] = {
+const RequestCase requestCases[] = {
     {"GetItem", R"({"TableName":"t","Key":{"pk":{"S":"head"},"sk":{"S":"head"}}})", 200,
      R"("version":{"N":"7"})"},
     {"GetItem", R"({"TableName":"t","Key":{"pk":{"S":"none"},"sk":{"S":"none"}}})", 200, "{}"},
@@ -100,7 +100,7 @@
      400, "ValidationException"},
 };
 
-constexpr const char *guardedClaim = R"j({"ClientRequestToken":"token-1","TransactItems":[
+constexpr const char *conditionalClaim = R"j({"ClientRequestToken":"token-1","TransactItems":[
     {"Put":{"TableName":"t","Item":{"pk":{"S":"claim#k"},"sk":{"S":"claim"},"attempt":{"S":"a1"}},
         "ConditionExpression":"attribute_not_exists(pk)"}},
     {"ConditionCheck":{"TableName":"t","Key":{"pk":{"S":"head"},"sk":{"S":"head"}},
@@ -110,7 +110,7 @@
 
 } // namespace
 
-TABLE_TEST(tableApi, conditions, conditionRows)
+TABLE_TEST(tableApi, conditions, conditionCases)
 {
     TableApi api;
     send(api, "PutItem", putHead);
@@ -122,8 +122,8 @@
         + std::string(row.condition) + "\"}";
     const HttpResponse response = send(api, "PutItem", body);
     cr_assert(response.status == (row.holds ? 200 : 400), "%s", row.condition);
-    const HttpResponse held = send(api, "GetItem", requestRows[0].body);
-    cr_assert(contains(held, R"("new")") == row.holds, "the item changed only if the condition held");
+    const HttpResponse stored = send(api, "GetItem", requestCases[0].body);
+    cr_assert(contains(stored, R"("new")") == row.holds, "the item changes only if the condition holds");
 }
 
 Test(tableApi, invalidConditionsAreRejected)
@@ -142,7 +142,7 @@
     cr_assert(contains(send(api, "PutItem", body), "ValidationException"));
 }
 
-TABLE_TEST(tableApi, requests, requestRows)
+TABLE_TEST(tableApi, requests, requestCases)
 {
     TableApi api;
     send(api, "PutItem", putHead);
@@ -155,27 +155,27 @@
 Test(tableApi, transactionIsAtomic)
 {
     TableApi api;
-    HttpResponse response = send(api, "TransactWriteItems", guardedClaim);
+    HttpResponse response = send(api, "TransactWriteItems", conditionalClaim);
     cr_assert(contains(response, "TransactionCanceledException"));
     cr_assert(contains(response, R"([{"Code":"None"},{"Code":"ConditionalCheckFailed")"), "%s",
               response.body.c_str());
     cr_assert(send(api, "GetItem", getClaim).body == "{}",
-              "the put whose condition held was not applied either");
+              "the put whose condition held is not applied either");
 
     send(api, "PutItem", putHead);
-    cr_assert(send(api, "TransactWriteItems", guardedClaim).status == 200);
+    cr_assert(send(api, "TransactWriteItems", conditionalClaim).status == 200);
     cr_assert(contains(send(api, "GetItem", getClaim), "a1"));
 }
 
-// A caller whose answer was lost sends the same transaction again. Without the token the second one would
-// fail on its own first effect, and the caller would believe that somebody else had won.
+// A caller whose response was lost retries the same transaction. Without the token the retry would fail the
+// condition on its own first write, and the caller would conclude that another caller had won.
 Test(tableApi, repeatedTokenReturnsTheSameResponse)
 {
     TableApi api;
     send(api, "PutItem", putHead);
-    cr_assert(send(api, "TransactWriteItems", guardedClaim).status == 200);
-    cr_assert(send(api, "TransactWriteItems", guardedClaim).status == 200);
-    std::string other = guardedClaim;
+    cr_assert(send(api, "TransactWriteItems", conditionalClaim).status == 200);
+    cr_assert(send(api, "TransactWriteItems", conditionalClaim).status == 200);
+    std::string other = conditionalClaim;
     other.replace(other.find("a1"), 2, "a2");
     cr_assert(contains(send(api, "TransactWriteItems", other), "IdempotentParameterMismatchException"));
 }
