--- a/Services/RowsEmulator/Main.cpp
+++ b/Services/RowsEmulator/Main.cpp
@@ -23,11 +23,12 @@
 {
     const auto service = std::make_shared<RowsService>(context, settings, std::move(faultsSet));
     std::vector<StorePort> ports;
-    for (std::size_t door = 0; door < listen.size(); ++door)
-        ports.push_back({listen[door], [service, door](const HttpRequest &request,
-                                                       const std::shared_ptr<HttpExchange> &exchange) {
-                             service->handle(request, exchange, door);
-                         }});
+    for (std::size_t listener = 0; listener < listen.size(); ++listener)
+        ports.push_back(
+            {listen[listener],
+             [service, listener](const HttpRequest &request, const std::shared_ptr<HttpExchange> &exchange) {
+                 service->handle(request, exchange, listener);
+             }});
     return ports;
 }
 
--- a/Services/RowsEmulator/RowStore.cpp
+++ b/Services/RowsEmulator/RowStore.cpp
@@ -6,11 +6,11 @@
 using Platform::QualifiedRow;
 using Platform::RowWrite;
 
-QualifiedRow RowStore::named(const Name &name) const
+QualifiedRow RowStore::currentRow(const RowKey &rowKey) const
 {
-    QualifiedRow row{name.table, name.part, {}};
-    row.row.key = name.key;
-    const auto found = this->table.find(name);
+    QualifiedRow row{rowKey.table, rowKey.part, {}};
+    row.row.key = rowKey.key;
+    const auto found = this->table.find(rowKey);
     if (found == this->table.end())
         row.row.removed = true;
     else
@@ -18,31 +18,31 @@
     return row;
 }
 
-bool RowStore::holds(const RowWrite &write, const QualifiedRow &standing)
+bool RowStore::conditionHolds(const RowWrite &write, const QualifiedRow &current)
 {
     if (!write.expectedRevision)
         return true;
-    return *write.expectedRevision == (standing.row.removed ? 0 : standing.row.revision);
+    return *write.expectedRevision == (current.row.removed ? 0 : current.row.revision);
 }
 
 std::optional<std::vector<QualifiedRow>> RowStore::apply(const std::vector<RowWrite> &writes)
 {
-    std::vector<QualifiedRow> refused;
+    std::vector<QualifiedRow> conflicts;
     for (const RowWrite &write : writes) {
-        const QualifiedRow standing = this->named({write.table, write.part, write.key});
-        if (!holds(write, standing))
-            refused.push_back(standing);
+        const QualifiedRow current = this->currentRow({write.table, write.part, write.key});
+        if (!conditionHolds(write, current))
+            conflicts.push_back(current);
     }
-    if (!refused.empty())
-        return refused;
+    if (!conflicts.empty())
+        return conflicts;
     ++this->revision;
     for (const RowWrite &write : writes) {
-        const Name name{write.table, write.part, write.key};
+        const RowKey rowKey{write.table, write.part, write.key};
         if (write.remove)
-            this->table.erase(name);
+            this->table.erase(rowKey);
         else
-            this->table[name] = {write.key, write.value, this->revision, false};
-        this->history.push_back({this->revision, name, write.remove});
+            this->table[rowKey] = {write.key, write.value, this->revision, false};
+        this->history.push_back({this->revision, rowKey, write.remove});
     }
     return std::nullopt;
 }
@@ -50,7 +50,7 @@
 void RowStore::dropHistory()
 {
     this->history.clear();
-    this->historyFrom = this->revision;
+    this->historyStart = this->revision;
 }
 
 std::vector<QualifiedRow> RowStore::rows(const Platform::RowsRange &range) const
@@ -58,11 +58,11 @@
     std::vector<QualifiedRow> found;
     for (auto entry = this->table.lower_bound({range.table, range.part, range.from});
          entry != this->table.end() && found.size() < range.limit; ++entry) {
-        const Name &name = entry->first;
-        if (name.table != range.table || name.part != range.part
-            || (!range.to.empty() && name.key >= range.to))
+        const RowKey &rowKey = entry->first;
+        if (rowKey.table != range.table || rowKey.part != range.part
+            || (!range.to.empty() && rowKey.key >= range.to))
             break;
-        found.push_back({name.table, name.part, entry->second});
+        found.push_back({rowKey.table, rowKey.part, entry->second});
     }
     return found;
 }
@@ -70,13 +70,13 @@
 std::optional<std::vector<QualifiedRow>> RowStore::changesAfter(const std::string &table,
                                                                 std::uint64_t after) const
 {
-    if (after < this->historyFrom || after > this->revision)
+    if (after < this->historyStart || after > this->revision)
         return std::nullopt;
     std::vector<QualifiedRow> changes;
     for (const Change &change : this->history) {
-        if (change.revision <= after || change.name.table != table)
+        if (change.revision <= after || change.rowKey.table != table)
             continue;
-        QualifiedRow row = this->named(change.name);
+        QualifiedRow row = this->currentRow(change.rowKey);
         row.row.revision = change.revision;
         changes.push_back(std::move(row));
     }
--- a/Services/RowsEmulator/RowStore.h
+++ b/Services/RowsEmulator/RowStore.h
@@ -28,32 +28,32 @@
     // Nothing when the history since then is gone, or has not been yet.
     std::optional<std::vector<Platform::QualifiedRow>> changesAfter(const std::string &table,
                                                                     std::uint64_t revision) const;
-    std::uint64_t newest() const { return this->revision; }
+    std::uint64_t newestRevision() const { return this->revision; }
 
 private:
-    struct Name
+    struct RowKey
     {
         std::string table;
         std::string part;
         std::string key;
 
-        auto operator<=>(const Name &) const = default;
+        auto operator<=>(const RowKey &) const = default;
     };
 
     struct Change
     {
         std::uint64_t revision = 0;
-        Name name;
+        RowKey rowKey;
         bool removed = false;
     };
 
-    Platform::QualifiedRow named(const Name &name) const;
-    static bool holds(const Platform::RowWrite &write, const Platform::QualifiedRow &standing);
+    Platform::QualifiedRow currentRow(const RowKey &rowKey) const;
+    static bool conditionHolds(const Platform::RowWrite &write, const Platform::QualifiedRow &current);
 
-    std::map<Name, Platform::StoredRow> table;
+    std::map<RowKey, Platform::StoredRow> table;
     std::deque<Change> history; // In order of revisions.
     std::uint64_t revision = 0;
-    std::uint64_t historyFrom = 0; // Changes up to this revision are forgotten.
+    std::uint64_t historyStart = 0; // Changes up to this revision are forgotten.
 };
 
 } // namespace Sagecrank
--- a/Services/RowsEmulator/RowsService.cpp
+++ b/Services/RowsEmulator/RowsService.cpp
@@ -15,10 +15,10 @@
 
 namespace {
 
-constexpr std::uint64_t longestDrill = 60000; // Milliseconds.
+constexpr std::uint64_t maximumRestoreMilliseconds = 60000; // Milliseconds.
 
 // Whose writers write again what the store has lost.
-constexpr const char *othersTables[] = {"op", "servers"};
+constexpr const char *tablesOfOtherWriters[] = {"op", "servers"};
 
 HttpResponse plainText(std::uint32_t status, std::string text)
 {
@@ -27,24 +27,24 @@
 
 } // namespace
 
-Result<ReturnSettings> readReturn(const std::string &json)
+Result<RestoreSettings> parseRestoreSettings(const std::string &json)
 {
     const boost::json::object object = TRY(Platform::parseObject(json, "read drill"));
     const auto milliseconds = [&object](std::string_view name) -> Result<Milliseconds> {
         if (!Platform::hasField(object, name))
             return Milliseconds(0);
-        return Milliseconds(TRY(Platform::unsignedField(object, name, longestDrill)));
+        return Milliseconds(TRY(Platform::unsignedField(object, name, maximumRestoreMilliseconds)));
     };
-    ReturnSettings drill;
-    drill.away = TRY(milliseconds("away_ms"));
-    drill.writtenAgainAfter = TRY(milliseconds("written_again_ms"));
+    RestoreSettings settings;
+    settings.outage = TRY(milliseconds("away_ms"));
+    settings.rewriteDelay = TRY(milliseconds("written_again_ms"));
     const auto flag = [&object](std::string_view name) {
         const boost::json::value *value = object.if_contains(name);
         return value != nullptr && value->is_bool() && value->as_bool();
     };
-    drill.quiet = flag("quiet");
-    drill.forgetsWatches = flag("forgets_watches");
-    return drill;
+    settings.hidesRevisionLoss = flag("quiet");
+    settings.abandonsWatches = flag("forgets_watches");
+    return settings;
 }
 
 RowsService::RowsService(boost::asio::io_context &context, RowsServiceSettings settings, FaultsSet faultsSet)
@@ -57,47 +57,50 @@
 }
 
 void RowsService::handle(const HttpRequest &request, const std::shared_ptr<HttpExchange> &exchange,
-                         std::size_t door)
+                         std::size_t listener)
 {
     if (request.target.starts_with("/emulator/"))
-        return this->control(request, *exchange, door);
-    if (this->away)
+        return this->handleControlRequest(request, *exchange, listener);
+    if (this->unavailable)
         return exchange->drop();
-    const FaultSettings &fault = this->faultsAt(door).settings();
+    const FaultSettings &fault = this->faultsOfListener(listener).settings();
     if (fault.down) {
         if (fault.answerWhileDown)
-            return this->answer(*exchange, makeResponse(503, "text/plain", "unavailable\n"));
+            return this->respond(*exchange, makeResponse(503, "text/plain", "unavailable\n"));
         return exchange->drop();
     }
     const Result<RowsRequest> decoded = Platform::decodeRowsRequest(request);
     if (!decoded)
-        return this->answer(*exchange, makeResponse(400, "text/plain", decoded.error().describe() + "\n"));
+        return this->respond(*exchange, makeResponse(400, "text/plain", decoded.error().describe() + "\n"));
     RateLimiter &limit = decoded.value().call == RowsCall::Write ? this->writes : this->reads;
     if (!limit.tryTake(1, SteadyClock::now()))
-        return this->answer(*exchange, Platform::encodeThrottled());
-    this->later(this->settings.answerTime + fault.delay,
-                [this, request = decoded.value(), exchange, door] { this->run(request, exchange, door); });
+        return this->respond(*exchange, Platform::encodeThrottled());
+    this->runAfter(this->settings.answerTime + fault.delay,
+                   [this, request = decoded.value(), exchange, listener] {
+                       this->execute(request, exchange, listener);
+                   });
 }
 
 // A door that nobody came by yet is as the first one.
-FaultInjector &RowsService::faultsAt(std::size_t door)
+FaultInjector &RowsService::faultsOfListener(std::size_t listener)
 {
-    return this->faults.try_emplace(door, this->faults[0]).first->second;
+    return this->faults.try_emplace(listener, this->faults[0]).first->second;
 }
 
 void RowsService::putConfiguration(const std::string &document)
 {
     const Platform::RowsRange place = Platform::configurationRow();
     this->store.apply({{place.table, place.part, place.from, document, false, std::nullopt}});
-    this->tellWatches();
+    this->notifyWatches();
 }
 
-void RowsService::control(const HttpRequest &request, HttpExchange &exchange, std::size_t door)
+void RowsService::handleControlRequest(const HttpRequest &request, HttpExchange &exchange,
+                                       std::size_t listener)
 {
-    exchange.respond(this->obey(request, door));
+    exchange.respond(this->executeCommand(request, listener));
 }
 
-HttpResponse RowsService::obey(const HttpRequest &request, std::size_t door)
+HttpResponse RowsService::executeCommand(const HttpRequest &request, std::size_t listener)
 {
     const std::string_view command =
         std::string_view(request.target).substr(std::string_view("/emulator/").size());
@@ -110,121 +113,122 @@
         return plainText(200, "dropped");
     }
     if (command == "copy") {
-        this->takeCopy();
+        this->takeSnapshot();
         return plainText(200, "copied");
     }
     if (command == "return")
-        return this->commandReturn(request.body);
+        return this->handleRestoreCommand(request.body);
     if (command == "era")
-        return this->commandEra(request.body);
+        return this->handleEraCommand(request.body);
     if (command != "faults")
         return plainText(404, "no such command");
-    const Result<FaultSettings> wanted = parseFaultSettings(request.body);
-    if (!wanted)
-        return plainText(400, wanted.error().describe());
-    if (door == 0)
+    const Result<FaultSettings> requested = parseFaultSettings(request.body);
+    if (!requested)
+        return plainText(400, requested.error().describe());
+    if (listener == 0)
         this->faults.clear();
-    this->faultsAt(door).set(wanted.value());
+    this->faultsOfListener(listener).set(requested.value());
     this->faultsSet(request.body);
     return makeResponse(200, "application/json", "{}");
 }
 
-HttpResponse RowsService::commandReturn(const std::string &json)
+HttpResponse RowsService::handleRestoreCommand(const std::string &json)
 {
-    const Result<ReturnSettings> drill = readReturn(json);
-    if (!drill)
-        return plainText(400, drill.error().describe());
-    if (!this->returnFromCopy(drill.value()))
+    const Result<RestoreSettings> settings = parseRestoreSettings(json);
+    if (!settings)
+        return plainText(400, settings.error().describe());
+    if (!this->restoreSnapshot(settings.value()))
         return plainText(409, "there is no copy");
     this->faultsSet(json);
     return plainText(200, "as of the copy");
 }
 
-HttpResponse RowsService::commandEra(const std::string &text)
+HttpResponse RowsService::handleEraCommand(const std::string &text)
 {
-    this->stateEra(text == "own" ? std::nullopt : std::optional(text));
+    this->overrideEra(text == "own" ? std::nullopt : std::optional(text));
     return plainText(200, "stated");
 }
 
-bool RowsService::returnFromCopy(const ReturnSettings &drill)
+bool RowsService::restoreSnapshot(const RestoreSettings &settings)
 {
-    if (!this->copy)
+    if (!this->snapshot)
         return false;
-    this->away = true;
+    this->unavailable = true;
     for (const std::shared_ptr<Watch> &watch : std::exchange(this->watches, {})) {
         watch->timer.cancel();
-        if (drill.forgetsWatches)
-            this->forgotten.push_back(watch);
+        if (settings.abandonsWatches)
+            this->abandonedWatches.push_back(watch);
         else
             watch->exchange->drop();
     }
-    std::vector<QualifiedRow> written = this->stillLost();
-    for (QualifiedRow &row : this->othersRows())
+    std::vector<QualifiedRow> written = this->lostRowsToRewrite();
+    for (QualifiedRow &row : this->rowsOfOtherWriters())
         written.push_back(std::move(row));
-    this->lost = std::move(written);
-    if (drill.away == Milliseconds(0))
-        this->comeBack(drill);
+    this->lostRows = std::move(written);
+    if (settings.outage == Milliseconds(0))
+        this->finishRestore(settings);
     else
-        this->later(drill.away, [this, drill] { this->comeBack(drill); });
+        this->runAfter(settings.outage, [this, settings] { this->finishRestore(settings); });
     return true;
 }
 
-void RowsService::comeBack(const ReturnSettings &drill)
+void RowsService::finishRestore(const RestoreSettings &settings)
 {
-    this->store = *this->copy;
-    this->returnedAt = this->store.newest();
-    this->quiet = drill.quiet;
-    this->away = false;
+    this->store = *this->snapshot;
+    this->restoredRevision = this->store.newestRevision();
+    this->hidesRevisionLoss = settings.hidesRevisionLoss;
+    this->unavailable = false;
     ++this->era;
-    if (drill.writtenAgainAfter == Milliseconds(0))
-        return this->writeAgain();
-    this->later(drill.writtenAgainAfter, [this, wanted = this->era] {
-        if (wanted == this->era && !this->away) // Else the next return sees to it.
-            this->writeAgain();
+    if (settings.rewriteDelay == Milliseconds(0))
+        return this->rewriteLostRows();
+    this->runAfter(settings.rewriteDelay, [this, restoredEra = this->era] {
+        if (restoredEra == this->era && !this->unavailable) // Else the next return sees to it.
+            this->rewriteLostRows();
     });
 }
 
 // In another order than before.
-void RowsService::writeAgain()
+void RowsService::rewriteLostRows()
 {
-    std::vector<QualifiedRow> rows = this->stillLost();
-    this->lost.clear();
+    std::vector<QualifiedRow> rows = this->lostRowsToRewrite();
+    this->lostRows.clear();
     for (auto row = rows.rbegin(); row != rows.rend(); ++row)
         this->store.apply({{row->table, row->part, row->row.key, row->row.value, false, std::nullopt}});
-    this->tellWatches();
+    this->notifyWatches();
 }
 
 // Without what stands as it was, and without what was written anew since the return.
-std::vector<QualifiedRow> RowsService::stillLost() const
+std::vector<QualifiedRow> RowsService::lostRowsToRewrite() const
 {
-    const std::vector<QualifiedRow> standing = this->othersRows();
+    const std::vector<QualifiedRow> current = this->rowsOfOtherWriters();
     std::vector<QualifiedRow> rows;
-    for (const QualifiedRow &row : this->lost) {
-        const auto held = std::ranges::find_if(standing, [&row](const QualifiedRow &other) {
+    for (const QualifiedRow &row : this->lostRows) {
+        const auto found = std::ranges::find_if(current, [&row](const QualifiedRow &other) {
             return other.table == row.table && other.row.key == row.row.key;
         });
-        const bool isLost = held == standing.end()
-                            || (held->row.revision <= this->returnedAt && held->row.value != row.row.value);
+        const bool isLost =
+            found == current.end()
+            || (found->row.revision <= this->restoredRevision && found->row.value != row.row.value);
         if (isLost)
             rows.push_back(row);
     }
     return rows;
 }
 
-std::vector<QualifiedRow> RowsService::othersRows() const
+std::vector<QualifiedRow> RowsService::rowsOfOtherWriters() const
 {
     constexpr std::uint32_t all = UINT32_MAX;
     std::vector<QualifiedRow> rows;
-    for (const char *table : othersTables) {
+    for (const char *table : tablesOfOtherWriters) {
         for (QualifiedRow &row : this->store.rows({table, {}, {}, {}, all}))
             rows.push_back(std::move(row));
     }
     return rows;
 }
 
-void RowsService::answer(HttpExchange &exchange, HttpResponse response) const
+void RowsService::respond(HttpExchange &exchange, HttpResponse response) const
 {
-    const std::string stated = this->eraText.value_or(std::to_string(this->era));
+    const std::string stated = this->eraOverride.value_or(std::to_string(this->era));
     if (!stated.empty())
         Platform::addEraHeader(response, stated);
     exchange.respond(std::move(response));
@@ -233,20 +237,20 @@
 std::optional<std::vector<QualifiedRow>> RowsService::changesAfter(const std::string &table,
                                                                    std::uint64_t revision) const
 {
-    if (this->quiet && revision > this->store.newest())
+    if (this->hidesRevisionLoss && revision > this->store.newestRevision())
         return std::vector<QualifiedRow>();
     return this->store.changesAfter(table, revision);
 }
 
-void RowsService::run(const RowsRequest &request, const std::shared_ptr<HttpExchange> &exchange,
-                      std::size_t door)
+void RowsService::execute(const RowsRequest &request, const std::shared_ptr<HttpExchange> &exchange,
+                          std::size_t listener)
 {
     switch (request.call) {
     case RowsCall::Get:
-        return this->answer(*exchange,
-                            Platform::encodeRows(this->store.rows(request.range), this->store.newest()));
+        return this->respond(
+            *exchange, Platform::encodeRows(this->store.rows(request.range), this->store.newestRevision()));
     case RowsCall::Write:
-        return this->write(request, exchange, door);
+        return this->write(request, exchange, listener);
     case RowsCall::Feed:
         return this->watch(request, exchange);
     }
@@ -254,32 +258,32 @@
 
 // A write whose answer is lost has taken effect; a late one takes effect after its connection is gone.
 void RowsService::write(const RowsRequest &request, const std::shared_ptr<HttpExchange> &exchange,
-                        std::size_t door)
+                        std::size_t listener)
 {
-    FaultInjector &own = this->faultsAt(door);
-    const WriteFault fault = own.drawWriteFault();
+    FaultInjector &injector = this->faultsOfListener(listener);
+    const WriteFault fault = injector.drawWriteFault();
     if (fault == WriteFault::AppliedLate) {
         exchange->drop();
-        return this->later(own.settings().lateWriteDelay, [this, request] {
+        return this->runAfter(injector.settings().lateWriteDelay, [this, request] {
             this->store.apply(request.writes);
-            this->tellWatches();
+            this->notifyWatches();
         });
     }
-    const auto refused = this->store.apply(request.writes);
-    this->tellWatches();
+    const auto conflicts = this->store.apply(request.writes);
+    this->notifyWatches();
     if (fault == WriteFault::AnswerLost)
         return exchange->drop();
-    this->answer(*exchange, refused ? Platform::encodeConflict(*refused, this->store.newest())
-                                    : Platform::encodeWriteSuccess(this->store.newest()));
+    this->respond(*exchange, conflicts ? Platform::encodeConflict(*conflicts, this->store.newestRevision())
+                                       : Platform::encodeWriteSuccess(this->store.newestRevision()));
 }
 
 void RowsService::watch(const RowsRequest &request, const std::shared_ptr<HttpExchange> &exchange)
 {
     const auto changes = this->changesAfter(request.range.table, request.after);
     if (!changes)
-        return this->answer(*exchange, Platform::encodeHistoryExpired());
+        return this->respond(*exchange, Platform::encodeHistoryExpired());
     if (!changes->empty() || request.wait == Milliseconds(0))
-        return this->answer(*exchange, Platform::encodeRows(*changes, this->store.newest()));
+        return this->respond(*exchange, Platform::encodeRows(*changes, this->store.newestRevision()));
     const auto watch = std::make_shared<Watch>(this->context, exchange);
     watch->table = request.range.table;
     watch->after = request.after;
@@ -289,11 +293,11 @@
         if (error)
             return;
         this->watches.remove(watch);
-        this->answer(*watch->exchange, Platform::encodeRows({}, this->store.newest()));
+        this->respond(*watch->exchange, Platform::encodeRows({}, this->store.newestRevision()));
     });
 }
 
-void RowsService::tellWatches()
+void RowsService::notifyWatches()
 {
     for (auto entry = this->watches.begin(); entry != this->watches.end();) {
         const std::shared_ptr<Watch> watch = *entry;
@@ -304,12 +308,12 @@
         }
         entry = this->watches.erase(entry);
         watch->timer.cancel();
-        this->answer(*watch->exchange, changes ? Platform::encodeRows(*changes, this->store.newest())
-                                               : Platform::encodeHistoryExpired());
+        this->respond(*watch->exchange, changes ? Platform::encodeRows(*changes, this->store.newestRevision())
+                                                : Platform::encodeHistoryExpired());
     }
 }
 
-void RowsService::later(Milliseconds delay, std::function<void()> step)
+void RowsService::runAfter(Milliseconds delay, std::function<void()> step)
 {
     const auto timer = std::make_shared<boost::asio::steady_timer>(this->context, delay);
     timer->async_wait([timer, step = std::move(step)](const boost::system::error_code &error) {
--- a/Services/RowsEmulator/RowsService.h
+++ b/Services/RowsEmulator/RowsService.h
@@ -29,17 +29,17 @@
 };
 
 // A drill: the store is away for a moment and comes back as of the last copy. Revisions are given out again.
-struct ReturnSettings
+struct RestoreSettings
 {
-    Milliseconds away{0};
+    Milliseconds outage{0};
     // From the return until what the operator and the servers wrote since the copy is written again.
-    Milliseconds writtenAgainAfter{0};
+    Milliseconds rewriteDelay{0};
     // A watch from a revision that the store does not have is held like any other, instead of being told.
-    bool quiet = false;
-    bool forgetsWatches = false; // Their connections stay open, and nothing comes on them.
+    bool hidesRevisionLoss = false;
+    bool abandonsWatches = false; // Their connections stay open, and nothing comes on them.
 };
 
-Result<ReturnSettings> readReturn(const std::string &json);
+Result<RestoreSettings> parseRestoreSettings(const std::string &json);
 
 class RowsService
 {
@@ -50,16 +50,16 @@
 
     // Faults that are set at door 0 hold at every door, those set at another at that one.
     void handle(const HttpRequest &request, const std::shared_ptr<HttpExchange> &exchange,
-                std::size_t door = 0);
+                std::size_t listener = 0);
     // What an operator does: the configuration's row is written whole.
     void putConfiguration(const std::string &document);
     void dropHistory() { this->store.dropHistory(); }
-    void takeCopy() { this->copy = this->store; }
+    void takeSnapshot() { this->snapshot = this->store; }
     // False when no copy was taken. At once where nothing is to be waited for.
-    bool returnFromCopy(const ReturnSettings &drill);
-    bool isAway() const { return this->away; } // Answers nothing.
+    bool restoreSnapshot(const RestoreSettings &settings);
+    bool isUnavailable() const { return this->unavailable; } // Answers nothing.
     // In place of its own number; empty: its answers do not say. Nothing: its own number again.
-    void stateEra(std::optional<std::string> text) { this->eraText = std::move(text); }
+    void overrideEra(std::optional<std::string> text) { this->eraOverride = std::move(text); }
 
 private:
     struct Watch
@@ -76,39 +76,40 @@
         boost::asio::steady_timer timer;
     };
 
-    void control(const HttpRequest &request, HttpExchange &exchange, std::size_t door);
-    HttpResponse obey(const HttpRequest &request, std::size_t door);
-    HttpResponse commandReturn(const std::string &json);
-    HttpResponse commandEra(const std::string &text);
-    void comeBack(const ReturnSettings &drill);
-    void writeAgain();
-    std::vector<Platform::QualifiedRow> stillLost() const;
-    std::vector<Platform::QualifiedRow> othersRows() const;
-    void answer(HttpExchange &exchange, HttpResponse response) const;
+    void handleControlRequest(const HttpRequest &request, HttpExchange &exchange, std::size_t listener);
+    HttpResponse executeCommand(const HttpRequest &request, std::size_t listener);
+    HttpResponse handleRestoreCommand(const std::string &json);
+    HttpResponse handleEraCommand(const std::string &text);
+    void finishRestore(const RestoreSettings &settings);
+    void rewriteLostRows();
+    std::vector<Platform::QualifiedRow> lostRowsToRewrite() const;
+    std::vector<Platform::QualifiedRow> rowsOfOtherWriters() const;
+    void respond(HttpExchange &exchange, HttpResponse response) const;
     std::optional<std::vector<Platform::QualifiedRow>> changesAfter(const std::string &table,
                                                                     std::uint64_t revision) const;
-    FaultInjector &faultsAt(std::size_t door);
-    void run(const Platform::RowsRequest &request, const std::shared_ptr<HttpExchange> &exchange,
-             std::size_t door);
+    FaultInjector &faultsOfListener(std::size_t listener);
+    void execute(const Platform::RowsRequest &request, const std::shared_ptr<HttpExchange> &exchange,
+                 std::size_t listener);
     void write(const Platform::RowsRequest &request, const std::shared_ptr<HttpExchange> &exchange,
-               std::size_t door);
+               std::size_t listener);
     void watch(const Platform::RowsRequest &request, const std::shared_ptr<HttpExchange> &exchange);
-    void tellWatches();
-    void later(Milliseconds delay, std::function<void()> step);
+    void notifyWatches();
+    void runAfter(Milliseconds delay, std::function<void()> step);
 
     boost::asio::io_context &context;
     const RowsServiceSettings settings;
     const FaultsSet faultsSet;
     RowStore store;
-    std::optional<RowStore> copy;
-    std::vector<Platform::QualifiedRow> lost; // Of the operator and the servers; until it is written again.
-    std::uint64_t returnedAt = 0;             // The newest revision then.
+    std::optional<RowStore> snapshot;
+    std::vector<Platform::QualifiedRow>
+        lostRows;                       // Of the operator and the servers; until it is written again.
+    std::uint64_t restoredRevision = 0; // The newest revision then.
     std::uint64_t era = 1;
-    std::optional<std::string> eraText;
-    bool away = false;
-    bool quiet = false;
-    std::list<std::shared_ptr<Watch>> forgotten; // Kept only for their connections.
-    std::map<std::size_t, FaultInjector> faults; // By door.
+    std::optional<std::string> eraOverride;
+    bool unavailable = false;
+    bool hidesRevisionLoss = false;
+    std::list<std::shared_ptr<Watch>> abandonedWatches; // Kept only for their connections.
+    std::map<std::size_t, FaultInjector> faults;        // By door.
     RateLimiter writes;
     RateLimiter reads;
     std::list<std::shared_ptr<Watch>> watches;
--- a/Tests/Platform/TestEmulatorRestore.cpp
+++ b/Tests/Platform/TestEmulatorRestore.cpp
@@ -75,8 +75,8 @@
 TABLE_TEST(emulatorRestore, everyResponseStatesTheEra, responseRows)
 {
     RestoreFixture fixture;
-    fixture.service.takeCopy();
-    cr_assert(fixture.service.returnFromCopy({}));
+    fixture.service.takeSnapshot();
+    cr_assert(fixture.service.restoreSnapshot({}));
     const StoreResponse response = fixture.send(row.method, row.target, row.body);
     cr_assert(response.status == row.status && response.era == "2", "%s: %u, era %s", row.target,
               response.status, response.era.c_str());
@@ -89,7 +89,7 @@
     RestoreFixture fixture;
     fixture.put("sagecrank", "kept", "a");
     fixture.put("op", "config", "1");
-    fixture.service.takeCopy();
+    fixture.service.takeSnapshot();
     const std::uint64_t copied = fixture.rows("sagecrank").value().newestRevision;
     fixture.put("sagecrank", "lost", "b");
     fixture.put("op", "config", "2");
@@ -109,7 +109,7 @@
     RestoreFixture fixture;
     fixture.put("op", "config", "1");
     fixture.put("op", "other", "1");
-    fixture.service.takeCopy();
+    fixture.service.takeSnapshot();
     fixture.put("op", "config", "2");
     fixture.put("op", "other", "2");
     cr_assert(fixture.send("POST", "/emulator/return", R"({"away_ms":100,"written_again_ms":1500})").status
--- a/Tests/Platform/TestStoreRestore.cpp
+++ b/Tests/Platform/TestStoreRestore.cpp
@@ -15,7 +15,7 @@
     RestoreFixture()
     {
         this->service.putConfiguration(document(3));
-        this->service.takeCopy();
+        this->service.takeSnapshot();
         this->writeRows(10);
         this->service.putConfiguration(document(5));
         this->expectHead(5, {});
@@ -82,7 +82,8 @@
 TABLE_TEST(storeRestore, configurationWithLowerRevisionIsApplied, lowerRevisionRows)
 {
     RestoreFixture fixture;
-    cr_assert(fixture.service.returnFromCopy({.writtenAgainAfter = Milliseconds(100), .quiet = row.quiet}));
+    cr_assert(
+        fixture.service.restoreSnapshot({.rewriteDelay = Milliseconds(100), .hidesRevisionLoss = row.quiet}));
     // The store has version 3 now, which must not be applied.
     fixture.expectHead(5, {5, Duration::zero(), true});
     fixture.runUntil([] { return false; }, Milliseconds(150));
@@ -104,7 +105,7 @@
     fixture.source.readHead({5, std::chrono::seconds(20), false},
                             [&seen](Result<Head> head) { seen.emplace(head); });
     fixture.runUntil([] { return false; }, Milliseconds(100));
-    cr_assert(fixture.service.returnFromCopy({.forgetsWatches = true}));
+    cr_assert(fixture.service.restoreSnapshot({.abandonsWatches = true}));
     fixture.service.putConfiguration(document(8));
     cr_assert(fixture.rows("t").has_value());
     cr_assert(fixture.runUntil([&seen] { return seen.has_value(); }, Milliseconds(1000)));
@@ -119,9 +120,9 @@
     std::vector<std::string> suspects;
     fixture.client->era()->setSuspectListener(
         [&suspects](const Error &error) { suspects.push_back(error.message); });
-    cr_assert(fixture.service.returnFromCopy({}));
+    cr_assert(fixture.service.restoreSnapshot({}));
     fixture.expectHead(5, {5, watchTimeout, false});
-    fixture.service.stateEra(row.stated);
+    fixture.service.overrideEra(row.stated);
     for (int read = 0; read < 3; ++read)
         fixture.expectHead(5, {5, Duration::zero(), false});
     fixture.service.putConfiguration(document(8));
@@ -129,8 +130,8 @@
     cr_assert(fixture.client->era()->highest() == 2);
     cr_assert(suspects.size() == 1 && suspects[0] == row.message, "%s: %zu, %s", row.what, suspects.size(),
               suspects.empty() ? "" : suspects[0].c_str());
-    fixture.service.stateEra(std::nullopt);
-    cr_assert(fixture.service.returnFromCopy({}));
+    fixture.service.overrideEra(std::nullopt);
+    cr_assert(fixture.service.restoreSnapshot({}));
     fixture.expectHead(8, {8, Duration::zero(), false});
     cr_assert(fixture.client->era()->highest() == 3);
 }
@@ -142,7 +143,7 @@
     int notifications = 0;
     fixture.client->era()->addChangeListener([&notifications](const EraChange &) { ++notifications; });
     fixture.client->era()->setSuspectListener([&notifications](const Error &) { ++notifications; });
-    fixture.service.stateEra("");
+    fixture.service.overrideEra("");
     cr_assert(fixture.rows("t").has_value());
     cr_assert(notifications == 0 && !fixture.client->era()->highest());
 }
@@ -154,7 +155,7 @@
 {
     StoreFixture fixture;
     const auto other = std::make_shared<Platform::RowsClient>(fixture.context, fixture.server.address());
-    fixture.service.takeCopy();
+    fixture.service.takeSnapshot();
     cr_assert(fixture.write({"t", {}, "k", "first", false, std::nullopt}).has_value());
     const Platform::RowsResponse read = fixture.rows("t").value();
     Platform::RowWrite late{"t", {}, "k", "late", false, read.rows[0].revision, read.era};
@@ -163,7 +164,7 @@
     fixture.client->write(late, [&written](const Result<void> &result) { written.emplace(result); });
     fixture.runUntil([] { return false; }, Milliseconds(50));
     fixture.setFaults("{}");
-    cr_assert(fixture.service.returnFromCopy({}));
+    cr_assert(fixture.service.restoreSnapshot({}));
     const auto second = fixture.await<Result<void>>([&](auto done) {
         other->write({"t", {}, "k", "second", false, 0, std::nullopt}, done);
     });
@@ -213,7 +214,7 @@
     };
     for (int drill = 0; drill < 15; ++drill) {
         if (randomUpTo(3) != 0)
-            fixture.service.takeCopy();
+            fixture.service.takeSnapshot();
         for (int step = randomUpTo(2); step >= 0; --step) {
             change();
             if (randomUpTo(1) == 0)
@@ -225,14 +226,15 @@
             fixture.source.readHead({seen, Milliseconds(100), false},
                                     [&ended](const Result<Head> &) { ended = true; });
         fixture.runUntil([] { return false; }, Milliseconds(randomUpTo(10)));
-        ReturnSettings settings;
-        settings.away = Milliseconds(randomUpTo(20));
-        settings.writtenAgainAfter = Milliseconds(randomUpTo(60));
-        settings.quiet = randomUpTo(1) == 0;
-        settings.forgetsWatches = randomUpTo(1) == 0;
-        cr_assert(fixture.service.returnFromCopy(settings));
-        fixture.runUntil([] { return false; }, settings.away + Milliseconds(10));
-        cr_assert(fixture.runUntil([&] { return !fixture.service.isAway(); }, std::chrono::seconds(20)));
+        RestoreSettings settings;
+        settings.outage = Milliseconds(randomUpTo(20));
+        settings.rewriteDelay = Milliseconds(randomUpTo(60));
+        settings.hidesRevisionLoss = randomUpTo(1) == 0;
+        settings.abandonsWatches = randomUpTo(1) == 0;
+        cr_assert(fixture.service.restoreSnapshot(settings));
+        fixture.runUntil([] { return false; }, settings.outage + Milliseconds(10));
+        cr_assert(
+            fixture.runUntil([&] { return !fixture.service.isUnavailable(); }, std::chrono::seconds(20)));
         if (randomUpTo(1) == 0)
             change();
         const auto upToDate = [&] {
