--- a/Services/RowsEmulator/Main.cpp
+++ b/Services/RowsEmulator/Main.cpp
@@ -1,5 +1,5 @@
-// sagecrank-rows-emulator: stands in for the users' store of rows in tests and on a developer's machine.
-// Keeps everything in memory and forgets it when it ends.
+// sagecrank-rows-emulator: emulates the users' row store for tests and local development. All data is kept
+// in memory and lost when the process exits.
 #include <PlatformEmulator/StoreProgram.h>
 #include <RowsEmulator/RowsService.h>
 
@@ -15,9 +15,9 @@
 
 namespace {
 
-constexpr std::uint64_t maximumBodyBytes = 2'097'152; // A transaction of a megabyte, with its encoding.
+constexpr std::uint64_t maximumBodyBytes = 2'097'152; // Fits an encoded transaction of 1 MB.
 
-// The first port is everybody's; each further one is the door of single hosts, with faults of its own.
+// The first port is shared by all hosts. Further ports serve selected hosts and can have separate faults.
 std::vector<StorePort> makePorts(asio::io_context &context, const std::vector<std::string> &listen,
                                  const RowsServiceSettings &settings, FaultsSetHook faultsSet)
 {
--- a/Services/RowsEmulator/RowStore.cpp
+++ b/Services/RowsEmulator/RowStore.cpp
@@ -1,4 +1,4 @@
-// Transactions, ranges and history.
+// Conditional transactions, range queries and the change history.
 #include <RowsEmulator/RowStore.h>
 
 namespace Sagecrank {
--- a/Services/RowsEmulator/RowStore.h
+++ b/Services/RowsEmulator/RowStore.h
@@ -1,5 +1,5 @@
-// Rows in memory with one counter of revisions and a history of changes, as the users' platform keeps them.
-// Without sockets or clocks. A copy of it is what the platform may come back from.
+// In-memory rows with a store-wide revision counter and a change history, like the users' platform. Uses
+// neither sockets nor clocks. A copy of a RowStore serves as a snapshot to restore from.
 #pragma once
 
 #include <platform/RowsProtocol.h>
@@ -17,15 +17,13 @@
 class RowStore
 {
 public:
-    // Commands.
-
-    // All of the writes or none. Nothing: they took effect; else the rows whose condition did not hold.
+    // Applies all of the writes or none. Returns nullopt if they were applied, otherwise the rows whose
+    // expected revision did not match.
     std::optional<std::vector<Platform::QualifiedRow>> apply(const std::vector<Platform::RowWrite> &writes);
     void dropHistory();
 
-    // Queries.
     std::vector<Platform::QualifiedRow> rows(const Platform::RowsRange &range) const;
-    // Nothing when the history since then is gone, or has not been yet.
+    // Returns nullopt if the history since `revision` was dropped, or `revision` is not reached yet.
     std::optional<std::vector<Platform::QualifiedRow>> changesAfter(const std::string &table,
                                                                     std::uint64_t revision) const;
     std::uint64_t newestRevision() const { return this->revision; }
@@ -51,9 +49,9 @@
     static bool conditionHolds(const Platform::RowWrite &write, const Platform::QualifiedRow &current);
 
     std::map<RowKey, Platform::StoredRow> table;
-    std::deque<Change> history; // In order of revisions.
+    std::deque<Change> history; // In ascending order of revision.
     std::uint64_t revision = 0;
-    std::uint64_t historyStart = 0; // Changes up to this revision are forgotten.
+    std::uint64_t historyStart = 0; // Changes up to this revision were dropped.
 };
 
 } // namespace Sagecrank
--- a/Services/RowsEmulator/RowsService.cpp
+++ b/Services/RowsEmulator/RowsService.cpp
@@ -1,4 +1,4 @@
-// Answers calls, keeps watches, and misbehaves on command.
+// Handles calls, watches, control commands, fault injection and snapshot restores.
 #include <RowsEmulator/RowsService.h>
 
 #include <platform/Json.h>
@@ -15,9 +15,9 @@
 
 namespace {
 
-constexpr std::uint64_t maximumRestoreMilliseconds = 60000; // Milliseconds.
+constexpr std::uint64_t maximumRestoreMilliseconds = 60000;
 
-// Whose writers write again what the store has lost.
+// The operator and the servers rewrite rows of these tables that a restore lost.
 constexpr const char *tablesOfOtherWriters[] = {"op", "servers"};
 
 HttpResponse plainText(std::uint32_t status, std::string text)
@@ -81,7 +81,7 @@
                    });
 }
 
-// A door that nobody came by yet is as the first one.
+// A listener without faults of its own starts with those of listener 0.
 FaultInjector &RowsService::faultsOfListener(std::size_t listener)
 {
     return this->faults.try_emplace(listener, this->faults[0]).first->second;
@@ -182,12 +182,12 @@
     if (settings.rewriteDelay == Milliseconds(0))
         return this->rewriteLostRows();
     this->runAfter(settings.rewriteDelay, [this, restoredEra = this->era] {
-        if (restoredEra == this->era && !this->unavailable) // Else the next return sees to it.
+        if (restoredEra == this->era && !this->unavailable) // Otherwise a later restore rewrites them.
             this->rewriteLostRows();
     });
 }
 
-// In another order than before.
+// Rewrites in reverse order, so that rows get their revisions in a different order than before.
 void RowsService::rewriteLostRows()
 {
     std::vector<QualifiedRow> rows = this->lostRowsToRewrite();
@@ -197,7 +197,7 @@
     this->notifyWatches();
 }
 
-// Without what stands as it was, and without what was written anew since the return.
+// Skips rows that kept their value and rows that were written since the restore.
 std::vector<QualifiedRow> RowsService::lostRowsToRewrite() const
 {
     const std::vector<QualifiedRow> current = this->rowsOfOtherWriters();
@@ -256,7 +256,7 @@
     }
 }
 
-// A write whose answer is lost has taken effect; a late one takes effect after its connection is gone.
+// A write whose response is lost is still applied; a late one is applied after its connection closed.
 void RowsService::write(const RowsRequest &request, const std::shared_ptr<HttpExchange> &exchange,
                         std::size_t listener)
 {
--- a/Services/RowsEmulator/RowsService.h
+++ b/Services/RowsEmulator/RowsService.h
@@ -1,5 +1,5 @@
-// The store as a service: calls, watches that wait for news, and faults by command. Without sockets of its
-// own.
+// The row store's HTTP service: calls, watches that wait for changes, and injected faults. The caller owns
+// the sockets.
 #pragma once
 
 #include <PlatformEmulator/Faults.h>
@@ -23,20 +23,21 @@
 
 struct RowsServiceSettings
 {
-    double writeRate = 400; // Calls a second; as the users' deployments have it.
+    double writeRate = 400; // Calls per second, as in the users' deployments.
     double readRate = 2000;
     Milliseconds answerTime{4};
 };
 
-// A drill: the store is away for a moment and comes back as of the last copy. Revisions are given out again.
+// Restores the store from its last snapshot after an outage. Revisions issued since the snapshot are reused.
 struct RestoreSettings
 {
     Milliseconds outage{0};
-    // From the return until what the operator and the servers wrote since the copy is written again.
+    // From the restore until the rows that the operator and the servers wrote since the snapshot are
+    // rewritten.
     Milliseconds rewriteDelay{0};
-    // A watch from a revision that the store does not have is held like any other, instead of being told.
+    // A watch from a revision that the store no longer has waits for changes instead of being told so.
     bool hidesRevisionLoss = false;
-    bool abandonsWatches = false; // Their connections stay open, and nothing comes on them.
+    bool abandonsWatches = false; // Open watches keep their connections but get no response.
 };
 
 Result<RestoreSettings> parseRestoreSettings(const std::string &json);
@@ -48,17 +49,17 @@
 
     RowsService(boost::asio::io_context &context, RowsServiceSettings settings, FaultsSet faultsSet);
 
-    // Faults that are set at door 0 hold at every door, those set at another at that one.
+    // Faults set through listener 0 replace those of every listener; others set only their own.
     void handle(const HttpRequest &request, const std::shared_ptr<HttpExchange> &exchange,
                 std::size_t listener = 0);
-    // What an operator does: the configuration's row is written whole.
+    // Replaces the configuration row, as an operator does.
     void putConfiguration(const std::string &document);
     void dropHistory() { this->store.dropHistory(); }
     void takeSnapshot() { this->snapshot = this->store; }
-    // False when no copy was taken. At once where nothing is to be waited for.
+    // Returns false without a snapshot. Restores and rewrites immediately where the delays are zero.
     bool restoreSnapshot(const RestoreSettings &settings);
-    bool isUnavailable() const { return this->unavailable; } // Answers nothing.
-    // In place of its own number; empty: its answers do not say. Nothing: its own number again.
+    bool isUnavailable() const { return this->unavailable; } // Calls are dropped.
+    // Sets the era that responses state; empty omits the header, nullopt restores the store's own counter.
     void overrideEra(std::optional<std::string> text) { this->eraOverride = std::move(text); }
 
 private:
@@ -102,14 +103,14 @@
     RowStore store;
     std::optional<RowStore> snapshot;
     std::vector<Platform::QualifiedRow>
-        lostRows;                       // Of the operator and the servers; until it is written again.
-    std::uint64_t restoredRevision = 0; // The newest revision then.
+        lostRows; // Written by the operator and the servers since the snapshot, not yet rewritten.
+    std::uint64_t restoredRevision = 0; // The newest revision at the last restore.
     std::uint64_t era = 1;
     std::optional<std::string> eraOverride;
     bool unavailable = false;
     bool hidesRevisionLoss = false;
-    std::list<std::shared_ptr<Watch>> abandonedWatches; // Kept only for their connections.
-    std::map<std::size_t, FaultInjector> faults;        // By door.
+    std::list<std::shared_ptr<Watch>> abandonedWatches; // Held to keep their connections open.
+    std::map<std::size_t, FaultInjector> faults;        // By listener.
     RateLimiter writes;
     RateLimiter reads;
     std::list<std::shared_ptr<Watch>> watches;
