--- a/Services/UpstreamEmulator/Announcer.cpp
+++ b/Services/UpstreamEmulator/Announcer.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-std::optional<std::uint64_t> readInFlight(const std::string &body)
+std::optional<std::uint64_t> parseInFlight(const std::string &body)
 {
     json::error_code error;
     const json::value value = json::parse(body, error);
@@ -24,16 +24,17 @@
 
 } // namespace
 
-bool DrainEnd::mayEnd(Instant now, std::size_t running, std::optional<std::uint64_t> nodeInFlight) const
+bool DrainPolicy::isComplete(Instant now, std::size_t running,
+                             std::optional<std::uint64_t> nodeInFlight) const
 {
-    if (!this->since || now - *this->since < leastTime)
+    if (!this->since || now - *this->since < minimumDuration)
         return false;
-    if (now - *this->since >= longestTime)
+    if (now - *this->since >= maximumDuration)
         return true;
     return running == 0 && nodeInFlight.value_or(0) == 0;
 }
 
-Announcer::Announcer(boost::asio::io_context &context, AnnounceSettings settings, State state, Answer answer)
+Announcer::Announcer(boost::asio::io_context &context, AnnouncerSettings settings, State state, Answer answer)
     : timer(context)
     , client(context, {})
     , settings(std::move(settings))
@@ -42,7 +43,7 @@
 {
 }
 
-HttpRequest Announcer::ownRequest(UpstreamState state) const
+HttpRequest Announcer::defaultRequest(UpstreamState state) const
 {
     json::object body;
     body["cluster"] = this->settings.cluster;
@@ -64,11 +65,11 @@
         return;
     }
     HttpRequest request =
-        this->settings.makeRequest ? this->settings.makeRequest(state) : this->ownRequest(state);
+        this->settings.makeRequest ? this->settings.makeRequest(state) : this->defaultRequest(state);
     this->client.send(this->settings.node, std::move(request), this->settings.interval,
                       [answer = std::move(answer)](const HttpFailure *failure, const HttpResponse &response) {
                           const bool good = failure == nullptr && response.status == 200;
-                          answer(good ? readInFlight(response.body) : std::nullopt);
+                          answer(good ? parseInFlight(response.body) : std::nullopt);
                       });
 }
 
--- a/Services/UpstreamEmulator/Announcer.h
+++ b/Services/UpstreamEmulator/Announcer.h
@@ -17,7 +17,7 @@
 
 namespace Sagecrank {
 
-struct AnnounceSettings
+struct AnnouncerSettings
 {
     std::string node; // The node's admin address; empty means that nothing is announced.
     std::string cluster;
@@ -30,17 +30,17 @@
 
 // When a draining upstream may end. Others learn of the drain through gossip, so calls still come in for a
 // while; ending as soon as nothing runs would cut the next one.
-class DrainEnd
+class DrainPolicy
 {
 public:
-    static constexpr Milliseconds leastTime{3000};
-    static constexpr Milliseconds longestTime{
+    static constexpr Milliseconds minimumDuration{3000};
+    static constexpr Milliseconds maximumDuration{
         60'000}; // Then it ends whatever runs, so that a host can be replaced.
 
     void begin(Instant now) { this->since = now; }
     bool draining() const { return this->since.has_value(); }
     // `nodeInFlight` is none when the node did not answer; then only the upstream's own work counts.
-    bool mayEnd(Instant now, std::size_t running, std::optional<std::uint64_t> nodeInFlight) const;
+    bool isComplete(Instant now, std::size_t running, std::optional<std::uint64_t> nodeInFlight) const;
 
 private:
     std::optional<Instant> since;
@@ -52,19 +52,19 @@
     using State = std::function<std::optional<UpstreamState>()>; // None keeps silent.
     using Answer = std::function<void(std::optional<std::uint64_t> inFlight)>;
 
-    Announcer(boost::asio::io_context &context, AnnounceSettings settings, State state, Answer answer);
+    Announcer(boost::asio::io_context &context, AnnouncerSettings settings, State state, Answer answer);
 
     void start() { this->tick(); }
     // Once, out of turn.
     void announce(UpstreamState state, Answer answer);
 
 private:
-    HttpRequest ownRequest(UpstreamState state) const;
+    HttpRequest defaultRequest(UpstreamState state) const;
     void tick();
 
     boost::asio::steady_timer timer;
     HttpClient client;
-    AnnounceSettings settings;
+    AnnouncerSettings settings;
     State state;
     Answer answer;
 };
--- a/Services/UpstreamEmulator/Answer.cpp
+++ b/Services/UpstreamEmulator/Answer.cpp
@@ -12,13 +12,13 @@
 
 namespace {
 
-constexpr std::size_t maximumAnswer = 1'000'000;
+constexpr std::size_t maximumResponseBytes = 1'000'000;
 
 constexpr std::string_view faultHeader = "Sagecrank-Emulator-Fault";
-constexpr std::string_view noAnswer = "\x16\x03 these bytes are no answer\r\n\r\n";
+constexpr std::string_view malformedResponse = "\x16\x03 these bytes are no answer\r\n\r\n";
 
 // Takes the line of that header out; what it said.
-std::string takeHeader(std::string &answer, std::string_view name)
+std::string removeHeader(std::string &answer, std::string_view name)
 {
     const std::string start = "\r\n" + std::string(name) + ": ";
     const std::size_t at = answer.find(start);
@@ -31,17 +31,17 @@
     return said;
 }
 
-std::size_t wantedBytes(std::string_view target)
+std::size_t requestedResponseBytes(std::string_view target)
 {
     const std::string_view text = queryValue(target, "answer_bytes");
     std::size_t bytes = 0;
     std::from_chars(text.data(), text.data() + text.size(), bytes);
-    return std::min(bytes, maximumAnswer);
+    return std::min(bytes, maximumResponseBytes);
 }
 
 } // namespace
 
-std::string answerBody(const HttpRequest &request)
+std::string responseBody(const HttpRequest &request)
 {
     const std::string_view call = findHeader(request.headers, "Sagecrank-Call-Id");
     std::string body;
@@ -49,55 +49,55 @@
     body.append("call=").append(call).append("\nmethod=").append(request.method);
     body.append("\ntarget=").append(request.target).append("\nbody=");
     body.append(historyDigest(request.body)).append("\n");
-    const std::size_t wanted = wantedBytes(request.target);
-    const std::string_view filling = call.empty() ? std::string_view(".") : call;
-    while (body.size() < wanted)
-        body.append(filling.substr(0, wanted - body.size()));
+    const std::size_t requested = requestedResponseBytes(request.target);
+    const std::string_view padding = call.empty() ? std::string_view(".") : call;
+    while (body.size() < requested)
+        body.append(padding.substr(0, requested - body.size()));
     return body;
 }
 
-HttpResponse servedAnswer(const HttpRequest &request, std::string_view upstream)
+HttpResponse servedResponse(const HttpRequest &request, std::string_view upstream)
 {
-    HttpResponse response = makeResponse(200, "text/plain", answerBody(request));
+    HttpResponse response = makeResponse(200, "text/plain", responseBody(request));
     response.headers.push_back(
         {"Sagecrank-Call-Id", std::string(findHeader(request.headers, "Sagecrank-Call-Id"))});
     response.headers.push_back({"Sagecrank-Upstream-Emulator", std::string(upstream)});
     return response;
 }
 
-HttpResponse shedAnswer(std::string_view why)
+HttpResponse shedResponse(std::string_view why)
 {
     HttpResponse response = makeResponse(503, "text/plain", std::string(why) + "\n");
     response.headers.push_back({"Sagecrank-Outcome", "not-run"});
     return response;
 }
 
-HttpResponse failedAnswer(std::uint32_t status, std::string_view why)
+HttpResponse errorResponse(std::uint32_t status, std::string_view why)
 {
     return makeResponse(status, "text/plain", std::string(why) + "\n");
 }
 
-void markFault(HttpResponse &response, CallFate fate)
+void addFaultHeader(HttpResponse &response, CallFault callFault)
 {
-    response.headers.push_back({std::string(faultHeader), std::string(callFateShares.name(fate))});
+    response.headers.push_back({std::string(faultHeader), std::string(callFaultShareKeys.name(callFault))});
 }
 
-RawResponse breakMarked(std::string answer)
+RawResponse applyMarkedFault(std::string answer)
 {
-    const std::optional<CallFate> fate = callFateShares.value(takeHeader(answer, faultHeader));
-    if (!fate)
+    const std::optional<CallFault> callFault = callFaultShareKeys.value(removeHeader(answer, faultHeader));
+    if (!callFault)
         return {std::move(answer), false, {}};
-    switch (*fate) {
-    case CallFate::Cut:
+    switch (*callFault) {
+    case CallFault::Truncated:
         return {answer.substr(0, answer.find("\r\n\r\n") + 5), true, {}};
-    case CallFate::Spoilt:
-        return {std::string(noAnswer), true, {}};
-    case CallFate::Unframed:
-        takeHeader(answer, "Content-Length");
+    case CallFault::Malformed:
+        return {std::string(malformedResponse), true, {}};
+    case CallFault::Unframed:
+        removeHeader(answer, "Content-Length");
         return {std::move(answer), true, {}};
-    case CallFate::Doubled:
+    case CallFault::Duplicated:
         return {answer + answer, false, {}};
-    case CallFate::DoubledLate:
+    case CallFault::DuplicatedLate:
         return {answer, false, answer};
     default:
         return {std::move(answer), false, {}};
--- a/Services/UpstreamEmulator/Answer.h
+++ b/Services/UpstreamEmulator/Answer.h
@@ -14,14 +14,14 @@
 // The body of a served call, which a caller can work out for itself from its own request:
 //   call=<id> LF method=<method> LF target=<target> LF body=<digest of the request's body> LF [padding]
 // The padding is the call's id over and over until the body has `?answer_bytes=` bytes.
-std::string answerBody(const HttpRequest &request);
+std::string responseBody(const HttpRequest &request);
 
-HttpResponse servedAnswer(const HttpRequest &request, std::string_view upstream);
-HttpResponse shedAnswer(std::string_view why);
-HttpResponse failedAnswer(std::uint32_t status, std::string_view why);
+HttpResponse servedResponse(const HttpRequest &request, std::string_view upstream);
+HttpResponse shedResponse(std::string_view why);
+HttpResponse errorResponse(std::uint32_t status, std::string_view why);
 
 // An answer that is to be broken says so to its own server, which makes the broken bytes of the whole ones.
-void markFault(HttpResponse &response, CallFate fate);
-RawResponse breakMarked(std::string answer);
+void addFaultHeader(HttpResponse &response, CallFault callFault);
+RawResponse applyMarkedFault(std::string answer);
 
 } // namespace Sagecrank
--- a/Services/UpstreamEmulator/Main.cpp
+++ b/Services/UpstreamEmulator/Main.cpp
@@ -26,7 +26,7 @@
 constexpr int exitFailure = 1;
 
 // As the shell reports a process that aborted.
-constexpr int exitCrashed = 134;
+constexpr int exitAborted = 134;
 
 struct Settings
 {
@@ -34,10 +34,11 @@
     std::string name;
     bool history = false;
     unsigned threads = 1;
-    AnnounceSettings announce;
+    AnnouncerSettings announce;
     WorkSettings work;
     Milliseconds warming{0};
-    bool goodbyeFirst = false; // Says goodbye where others say that they drain, and serves on for as long.
+    bool announceGoneFirst =
+        false; // Says goodbye where others say that they drain, and serves on for as long.
     // Names this start where upstreams have such names; then it speaks the users' platform's protocol.
     std::string instance;
 };
@@ -58,7 +59,7 @@
         , signals(this->mainContext, SIGINT, SIGTERM)
         , announcer(
               this->mainContext, this->settings.announce, [this] { return this->announcedState(); },
-              [this](std::optional<std::uint64_t> inFlight) { this->considerEnd(inFlight); })
+              [this](std::optional<std::uint64_t> inFlight) { this->stopIfDrained(inFlight); })
         , started(SteadyClock::now())
     {
     }
@@ -67,7 +68,7 @@
     {
         for (unsigned index = 0; index < this->settings.threads; ++index) {
             const Result<void> listening =
-                this->listenOn(index == 0 ? this->mainContext : this->moreContext());
+                this->listenOn(index == 0 ? this->mainContext : this->addContext());
             if (!listening) {
                 this->log.write(EventId::ListenFailed, {{"error", listening.error().describe()}});
                 return listening.error().kind == ErrorKind::InvalidInput ? exitUsage : exitFailure;
@@ -89,7 +90,7 @@
     }
 
 private:
-    asio::io_context &moreContext()
+    asio::io_context &addContext()
     {
         this->contexts.push_back(std::make_unique<asio::io_context>(1));
         return *this->contexts.back();
@@ -99,9 +100,9 @@
     {
         HttpServerSettings server;
         server.reusePort = this->settings.threads > 1;
-        server.rewriteResponse = breakMarked;
+        server.rewriteResponse = applyMarkedFault;
         server.respondBeforeBody = [this](const HttpRequest &header) {
-            return this->service.refuseEarly(header);
+            return this->service.respondBeforeBody(header);
         };
         HttpHandler handler = [this, &context](HttpRequest request, std::shared_ptr<HttpExchange> exchange) {
             this->service.handle(context, std::move(request), std::move(exchange));
@@ -129,8 +130,8 @@
             this->drain.begin(SteadyClock::now());
             this->log.write(EventId::ProcessDraining, {});
             this->service.beginDrain();
-            this->announcer.announce(this->settings.goodbyeFirst ? UpstreamState::Gone
-                                                                 : UpstreamState::Draining,
+            this->announcer.announce(this->settings.announceGoneFirst ? UpstreamState::Gone
+                                                                      : UpstreamState::Draining,
                                      [](std::optional<std::uint64_t>) {});
             this->awaitSignal();
         });
@@ -138,20 +139,20 @@
 
     std::optional<UpstreamState> announcedState()
     {
-        const bool saidGoodbye = this->settings.goodbyeFirst && this->drain.draining();
-        if (saidGoodbye || this->service.silent())
+        const bool announcedGone = this->settings.announceGoneFirst && this->drain.draining();
+        if (announcedGone || this->service.suppressesAnnouncements())
             return std::nullopt;
-        const UpstreamState state = this->service.reportOutside().state;
+        const UpstreamState state = this->service.externalReport().state;
         if (state == UpstreamState::Ready && SteadyClock::now() - this->started < this->settings.warming)
             return UpstreamState::Warming;
         return state;
     }
 
-    void considerEnd(std::optional<std::uint64_t> nodeInFlight)
+    void stopIfDrained(std::optional<std::uint64_t> nodeInFlight)
     {
-        if (!this->drain.mayEnd(SteadyClock::now(), this->service.report().running, nodeInFlight))
+        if (!this->drain.isComplete(SteadyClock::now(), this->service.report().running, nodeInFlight))
             return;
-        if (this->settings.goodbyeFirst)
+        if (this->settings.announceGoneFirst)
             return this->mainContext.stop();
         this->announcer.announce(UpstreamState::Gone,
                                  [this](std::optional<std::uint64_t>) { this->mainContext.stop(); });
@@ -165,13 +166,13 @@
     WorkService service;
     std::vector<std::unique_ptr<HttpServer>> servers;
     asio::signal_set signals;
-    DrainEnd drain;
+    DrainPolicy drain;
     Announcer announcer;
     Instant started;
 };
 
 // Check-ins of this start, numbered.
-std::function<HttpRequest(UpstreamState)> checkIns(const Settings &settings)
+std::function<HttpRequest(UpstreamState)> makeCheckInRequests(const Settings &settings)
 {
     const auto now = std::chrono::system_clock::now().time_since_epoch();
     UpstreamAnnouncement announcement;
@@ -212,7 +213,7 @@
         "slowness at the very start");
     add("warming-ms", options::value(&warmingMilliseconds)->default_value(0),
         "time for which it announces that it warms up");
-    add("goodbye-first", options::bool_switch(&settings.goodbyeFirst),
+    add("goodbye-first", options::bool_switch(&settings.announceGoneFirst),
         "on SIGTERM, says that it is gone, serves on for as long as a drain takes, and ends");
     add("crash-prefix", options::value(&settings.work.crashPrefix),
         "a call whose target begins so ends this process when its work is done");
@@ -236,7 +237,7 @@
             arguments, values))
         return *exitCode;
     for (const std::string &text : paths) {
-        const Result<PathTime> path = parsePathTime(text);
+        const Result<PathServiceTime> path = parsePathServiceTime(text);
         if (!path) {
             std::cerr << path.error().describe() << "\n";
             return exitUsage;
@@ -247,13 +248,13 @@
         settings.name = settings.listen;
     settings.threads = std::max(1U, settings.threads);
     settings.work.name = settings.name;
-    settings.work.crash = [] { std::_Exit(exitCrashed); };
+    settings.work.crash = [] { std::_Exit(exitAborted); };
     settings.work.cold.length = Milliseconds(coldMilliseconds);
     settings.warming = Milliseconds(warmingMilliseconds);
     settings.announce.address = settings.listen;
     settings.announce.slots = static_cast<std::uint32_t>(settings.work.slots);
     if (!settings.instance.empty())
-        settings.announce.makeRequest = checkIns(settings);
+        settings.announce.makeRequest = makeCheckInRequests(settings);
     Program program(std::move(settings));
     return program.run();
 }
--- a/Services/UpstreamEmulator/ServiceTime.cpp
+++ b/Services/UpstreamEmulator/ServiceTime.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr double longestMilliseconds = 600'000;
+constexpr double maximumMilliseconds = 600'000;
 constexpr double lognormalSigma = 0.6; // A tail as services have it: the 99th percentile at about 4 medians.
 
 std::optional<double> parseMilliseconds(std::string_view text)
@@ -19,7 +19,7 @@
     const auto parsed = std::from_chars(text.data(), text.data() + text.size(), value);
     if (text.empty() || parsed.ec != std::errc() || parsed.ptr != text.data() + text.size())
         return std::nullopt;
-    if (!(value >= 0 && value <= longestMilliseconds))
+    if (!(value >= 0 && value <= maximumMilliseconds))
         return std::nullopt;
     return value;
 }
@@ -39,7 +39,7 @@
     return {};
 }
 
-Result<PathTime> parsePathTime(std::string_view text)
+Result<PathServiceTime> parsePathServiceTime(std::string_view text)
 {
     const auto malformed = [&] {
         return makeError(ErrorKind::InvalidInput, "read service time", std::string(text),
@@ -48,7 +48,7 @@
     const std::size_t equals = text.find('=');
     if (equals == std::string_view::npos)
         return malformed();
-    PathTime path;
+    PathServiceTime path;
     path.prefix = text.substr(0, equals);
     std::string_view mean = text.substr(equals + 1);
     if (const std::size_t colon = mean.find(':'); colon != std::string_view::npos) {
@@ -65,14 +65,15 @@
     return path;
 }
 
-ServiceTime::ServiceTime(std::vector<PathTime> paths, ColdStart cold, std::uint64_t seed)
+ServiceTime::ServiceTime(std::vector<PathServiceTime> paths, ColdStart cold, std::uint64_t seed)
     : paths(std::move(paths))
     , cold(cold)
     , random(seed)
 {
-    std::stable_sort(this->paths.begin(), this->paths.end(), [](const PathTime &left, const PathTime &right) {
-        return left.prefix.size() > right.prefix.size();
-    });
+    std::stable_sort(this->paths.begin(), this->paths.end(),
+                     [](const PathServiceTime &left, const PathServiceTime &right) {
+                         return left.prefix.size() > right.prefix.size();
+                     });
 }
 
 Microseconds ServiceTime::draw(std::string_view target, Duration sinceStart, double slowFactor)
@@ -83,14 +84,14 @@
             std::chrono::duration<double>(sinceStart) / std::chrono::duration<double>(this->cold.length);
         milliseconds *= 1 + ((this->cold.factor - 1) * (1 - passed));
     }
-    return Microseconds(std::llround(std::min(milliseconds, longestMilliseconds) * 1000));
+    return Microseconds(std::llround(std::min(milliseconds, maximumMilliseconds) * 1000));
 }
 
 double ServiceTime::drawMilliseconds(std::string_view target)
 {
     if (const auto asked = parseMilliseconds(queryValue(target, "work_ms")))
         return *asked;
-    for (const PathTime &path : this->paths) {
+    for (const PathServiceTime &path : this->paths) {
         if (!target.starts_with(path.prefix))
             continue;
         switch (path.distribution) {
--- a/Services/UpstreamEmulator/ServiceTime.h
+++ b/Services/UpstreamEmulator/ServiceTime.h
@@ -22,7 +22,7 @@
     {WorkDistribution::Lognormal, "lognormal"},
 }};
 
-struct PathTime
+struct PathServiceTime
 {
     std::string prefix; // The longest prefix that matches counts; the empty one matches every path.
     double meanMilliseconds = 0;
@@ -36,12 +36,12 @@
 };
 
 // "prefix=mean[:distribution]", such as "/book=5:exponential". Errors: InvalidInput.
-Result<PathTime> parsePathTime(std::string_view text);
+Result<PathServiceTime> parsePathServiceTime(std::string_view text);
 
 class ServiceTime
 {
 public:
-    ServiceTime(std::vector<PathTime> paths, ColdStart cold, std::uint64_t seed);
+    ServiceTime(std::vector<PathServiceTime> paths, ColdStart cold, std::uint64_t seed);
 
     // `target` may carry "?work_ms=<number>", which takes the place of the distribution.
     Microseconds draw(std::string_view target, Duration sinceStart, double slowFactor);
@@ -49,7 +49,7 @@
 private:
     double drawMilliseconds(std::string_view target);
 
-    std::vector<PathTime> paths;
+    std::vector<PathServiceTime> paths;
     ColdStart cold;
     std::mt19937_64 random;
 };
--- a/Services/UpstreamEmulator/SlotPool.cpp
+++ b/Services/UpstreamEmulator/SlotPool.cpp
@@ -5,35 +5,35 @@
 
 namespace Sagecrank {
 
-SlotVerdict SlotPool::arrive(std::uint64_t call)
+SlotDecision SlotPool::admit(std::uint64_t call)
 {
-    if (this->busy < this->slots) {
-        ++this->busy;
-        return SlotVerdict::Start;
+    if (this->runningCalls < this->slots) {
+        ++this->runningCalls;
+        return SlotDecision::Start;
     }
-    if (this->line.size() >= this->maximumWaiting)
-        return SlotVerdict::Shed;
-    this->line.push_back(call);
-    return SlotVerdict::Wait;
+    if (this->queue.size() >= this->maximumWaiting)
+        return SlotDecision::Shed;
+    this->queue.push_back(call);
+    return SlotDecision::Wait;
 }
 
-std::optional<std::uint64_t> SlotPool::finish()
+std::optional<std::uint64_t> SlotPool::release()
 {
-    if (this->line.empty()) {
-        --this->busy;
+    if (this->queue.empty()) {
+        --this->runningCalls;
         return std::nullopt;
     }
-    const std::uint64_t next = this->line.front();
-    this->line.pop_front();
+    const std::uint64_t next = this->queue.front();
+    this->queue.pop_front();
     return next;
 }
 
-bool SlotPool::leave(std::uint64_t call)
+bool SlotPool::removeWaiting(std::uint64_t call)
 {
-    const auto found = std::find(this->line.begin(), this->line.end(), call);
-    if (found == this->line.end())
+    const auto found = std::find(this->queue.begin(), this->queue.end(), call);
+    if (found == this->queue.end())
         return false;
-    this->line.erase(found);
+    this->queue.erase(found);
     return true;
 }
 
--- a/Services/UpstreamEmulator/SlotPool.h
+++ b/Services/UpstreamEmulator/SlotPool.h
@@ -9,7 +9,7 @@
 
 namespace Sagecrank {
 
-enum class SlotVerdict { Start, Wait, Shed };
+enum class SlotDecision { Start, Wait, Shed };
 
 class SlotPool
 {
@@ -20,20 +20,20 @@
     {
     }
 
-    std::size_t running() const { return this->busy; }
-    std::size_t waiting() const { return this->line.size(); }
+    std::size_t running() const { return this->runningCalls; }
+    std::size_t waiting() const { return this->queue.size(); }
 
-    SlotVerdict arrive(std::uint64_t call);
+    SlotDecision admit(std::uint64_t call);
     // Frees one slot and names the call that takes it; that call starts now.
-    std::optional<std::uint64_t> finish();
+    std::optional<std::uint64_t> release();
     // Takes a call out of the line; false when it is not waiting there.
-    bool leave(std::uint64_t call);
+    bool removeWaiting(std::uint64_t call);
 
 private:
     std::size_t slots;
     std::size_t maximumWaiting;
-    std::size_t busy = 0; // At most `slots`; the line is empty unless all are busy.
-    std::deque<std::uint64_t> line;
+    std::size_t runningCalls = 0; // At most `slots`; the line is empty unless all are busy.
+    std::deque<std::uint64_t> queue;
 };
 
 } // namespace Sagecrank
--- a/Services/UpstreamEmulator/UpstreamFaults.cpp
+++ b/Services/UpstreamEmulator/UpstreamFaults.cpp
@@ -9,45 +9,45 @@
 
 namespace {
 
-bool readNumber(const json::value &value, double lowest, double highest, double &into)
+bool readNumber(const json::value &value, double lowest, double highest, double &result)
 {
     json::error_code error;
     const auto number = value.to_number<double>(error);
     if (error || !(number >= lowest && number <= highest))
         return false;
-    into = number;
+    result = number;
     return true;
 }
 
-bool readFlag(const json::value &value, bool &into)
+bool readFlag(const json::value &value, bool &result)
 {
     if (!value.is_bool())
         return false;
-    into = value.as_bool();
+    result = value.as_bool();
     return true;
 }
 
-bool readSetting(std::string_view key, const json::value &value, UpstreamFaultSettings &into)
+bool readSetting(std::string_view key, const json::value &value, UpstreamFaultSettings &result)
 {
     constexpr double slowest = 1'000'000;
-    constexpr double longestLag = 600'000;
+    constexpr double maximumLag = 600'000;
     if (key == "slow_factor")
-        return readNumber(value, 0, slowest, into.slowFactor);
-    if (const auto fate = callFateShares.value(key))
-        return readNumber(value, 0, 1, into.shares[static_cast<std::size_t>(*fate)]);
+        return readNumber(value, 0, slowest, result.slowFactor);
+    if (const auto callFault = callFaultShareKeys.value(key))
+        return readNumber(value, 0, 1, result.shares[static_cast<std::size_t>(*callFault)]);
     if (key == "misleading_health")
-        return readFlag(value, into.misleadingHealth);
+        return readFlag(value, result.misleadingHealth);
     if (key == "silent")
-        return readFlag(value, into.silent);
+        return readFlag(value, result.silent);
     if (key == "health_lag_ms") {
         double milliseconds = 0;
-        const bool good = readNumber(value, 0, longestLag, milliseconds);
-        into.healthLag = Milliseconds(static_cast<std::int64_t>(milliseconds));
+        const bool good = readNumber(value, 0, maximumLag, milliseconds);
+        result.healthLag = Milliseconds(static_cast<std::int64_t>(milliseconds));
         return good;
     }
     if (key == "seed") {
         json::error_code error;
-        into.seed = value.to_number<std::uint64_t>(error);
+        result.seed = value.to_number<std::uint64_t>(error);
         return !error;
     }
     return false;
@@ -55,7 +55,7 @@
 
 } // namespace
 
-Result<UpstreamFaultSettings> readUpstreamFaults(std::string_view text)
+Result<UpstreamFaultSettings> parseUpstreamFaultSettings(std::string_view text)
 {
     json::error_code error;
     const json::value value = json::parse(json::string_view(text.data(), text.size()), error);
@@ -70,29 +70,29 @@
     return settings;
 }
 
-CallFate UpstreamFaults::drawFate()
+CallFault UpstreamFaultInjector::drawCallFault()
 {
     double draw = std::uniform_real_distribution<double>(0, 1)(this->random);
-    for (const auto &[fate, name] : callFateShares.rows) {
-        const double share = fate == CallFate::Early ? 0 : this->share(fate);
+    for (const auto &[callFault, name] : callFaultShareKeys.rows) {
+        const double share = callFault == CallFault::RefusedEarly ? 0 : this->share(callFault);
         if (draw < share)
-            return fate;
+            return callFault;
         draw -= share;
     }
-    return CallFate::Served;
+    return CallFault::None;
 }
 
-bool UpstreamFaults::drawEarly()
+bool UpstreamFaultInjector::drawEarlyRefusal()
 {
-    return std::uniform_real_distribution<double>(0, 1)(this->random) < this->share(CallFate::Early);
+    return std::uniform_real_distribution<double>(0, 1)(this->random) < this->share(CallFault::RefusedEarly);
 }
 
-double UpstreamFaults::share(CallFate fate) const
+double UpstreamFaultInjector::share(CallFault callFault) const
 {
-    return this->current.shares[static_cast<std::size_t>(fate)];
+    return this->current.shares[static_cast<std::size_t>(callFault)];
 }
 
-void UpstreamFaults::set(const UpstreamFaultSettings &settings)
+void UpstreamFaultInjector::set(const UpstreamFaultSettings &settings)
 {
     this->current = settings;
     this->random.seed(settings.seed);
--- a/Services/UpstreamEmulator/UpstreamFaults.h
+++ b/Services/UpstreamEmulator/UpstreamFaults.h
@@ -14,38 +14,39 @@
 namespace Sagecrank {
 
 // What becomes of one call.
-enum class CallFate : std::uint8_t {
-    Served,
-    Shed,        // Although slots are free.
-    Failed,      // Answered 500 at once, after it began.
-    Hung,        // It begins and never ends.
-    Dropped,     // It runs, and its connection is then closed.
-    Cut,         // It runs, and its connection is closed in the midst of the answer.
-    Spoilt,      // It runs, and bytes come that are no answer.
-    Unframed,    // It runs; its answer states no length and ends with the connection.
-    Doubled,     // It runs, and its answer comes twice.
-    DoubledLate, // The same, the second time where the answer to the next call is expected.
-    Early, // It is refused, not run, before its body is in; concerns calls with a body that comes later.
+enum class CallFault : std::uint8_t {
+    None,
+    Shed,           // Although slots are free.
+    Failed,         // Answered 500 at once, after it began.
+    Hung,           // It begins and never ends.
+    Dropped,        // It runs, and its connection is then closed.
+    Truncated,      // It runs, and its connection is closed in the midst of the answer.
+    Malformed,      // It runs, and bytes come that are no answer.
+    Unframed,       // It runs; its answer states no length and ends with the connection.
+    Duplicated,     // It runs, and its answer comes twice.
+    DuplicatedLate, // The same, the second time where the answer to the next call is expected.
+    RefusedEarly,   // It is refused, not run, before its body is in; concerns calls with a body that comes
+                    // later.
 };
 
 // As the commands name the share of each; Served is what is left.
-inline constexpr EnumNames<CallFate, 10> callFateShares{{
-    {CallFate::Shed, "shed_share"},
-    {CallFate::Failed, "fail_share"},
-    {CallFate::Hung, "hang_share"},
-    {CallFate::Dropped, "drop_share"},
-    {CallFate::Cut, "cut_share"},
-    {CallFate::Spoilt, "spoil_share"},
-    {CallFate::Unframed, "unframed_share"},
-    {CallFate::Doubled, "double_share"},
-    {CallFate::DoubledLate, "double_late_share"},
-    {CallFate::Early, "early_share"},
+inline constexpr EnumNames<CallFault, 10> callFaultShareKeys{{
+    {CallFault::Shed, "shed_share"},
+    {CallFault::Failed, "fail_share"},
+    {CallFault::Hung, "hang_share"},
+    {CallFault::Dropped, "drop_share"},
+    {CallFault::Truncated, "cut_share"},
+    {CallFault::Malformed, "spoil_share"},
+    {CallFault::Unframed, "unframed_share"},
+    {CallFault::Duplicated, "double_share"},
+    {CallFault::DuplicatedLate, "double_late_share"},
+    {CallFault::RefusedEarly, "early_share"},
 }};
 
 struct UpstreamFaultSettings
 {
-    double slowFactor = 1;                                  // Work takes this many times as long.
-    std::array<double, callFateShares.size() + 1> shares{}; // Of calls, by CallFate; 0 to 1 together.
+    double slowFactor = 1;                                      // Work takes this many times as long.
+    std::array<double, callFaultShareKeys.size() + 1> shares{}; // Of calls, by CallFault; 0 to 1 together.
     bool misleadingHealth = false; // Health and announcements say ready and idle whatever is true.
     Milliseconds healthLag{0};     // Health and announcements tell of the state this long ago.
     bool silent = false;           // No announcements.
@@ -53,19 +54,19 @@
 };
 
 // Reads the JSON of POST /emulator/faults. A key that is left out has its default, so "{}" mends everything.
-Result<UpstreamFaultSettings> readUpstreamFaults(std::string_view json);
+Result<UpstreamFaultSettings> parseUpstreamFaultSettings(std::string_view json);
 
-class UpstreamFaults
+class UpstreamFaultInjector
 {
 public:
     const UpstreamFaultSettings &settings() const { return this->current; }
 
-    CallFate drawFate();
-    bool drawEarly(); // For a call whose body is still coming.
+    CallFault drawCallFault();
+    bool drawEarlyRefusal(); // For a call whose body is still coming.
     void set(const UpstreamFaultSettings &settings);
 
 private:
-    double share(CallFate fate) const;
+    double share(CallFault callFault) const;
 
     UpstreamFaultSettings current;
     std::mt19937_64 random{1};
--- a/Services/UpstreamEmulator/WorkService.cpp
+++ b/Services/UpstreamEmulator/WorkService.cpp
@@ -14,10 +14,10 @@
 
 namespace {
 
-constexpr Milliseconds longestLag{600'000};
-constexpr std::size_t maximumPast = 4096;
+constexpr Milliseconds maximumLag{600'000};
+constexpr std::size_t maximumReportHistory = 4096;
 
-std::optional<Milliseconds> deadlineOf(const HttpRequest &request)
+std::optional<Milliseconds> parseDeadline(const HttpRequest &request)
 {
     const std::string_view text = findHeader(request.headers, "Sagecrank-Deadline-Ms");
     std::int64_t milliseconds = 0;
@@ -32,7 +32,7 @@
     return std::string(findHeader(request.headers, name));
 }
 
-bool isCommand(std::string_view target)
+bool isControlTarget(std::string_view target)
 {
     return target.starts_with("/emulator/") || target == "/health";
 }
@@ -53,73 +53,75 @@
     {
     }
 
-    void arrive();
-    void startOnItsThread();
+    void admit();
+    void postStart();
 
 private:
     void armDeadline(Milliseconds limit);
     void shed(std::string_view why);
     void start();
     void finish();
-    void abandoned();
+    void callerDisconnected();
     void deadlinePassed();
-    void leaveLine();
-    void endRunning(std::optional<HttpResponse> response);
+    void leaveQueue();
+    void endRunningCall(std::optional<HttpResponse> response);
 
     WorkService &service;
     boost::asio::io_context &context;
     HttpRequest request;
     std::shared_ptr<HttpExchange> exchange;
     std::uint64_t number;
-    std::optional<boost::asio::steady_timer> work;
-    std::optional<boost::asio::steady_timer> deadline;
-    CallFate fate = CallFate::Served;
+    std::optional<boost::asio::steady_timer> workTimer;
+    std::optional<boost::asio::steady_timer> deadlineTimer;
+    CallFault callFault = CallFault::None;
     bool running = false; // Holds a slot.
     bool ended = false;   // Answered or given up on; nothing else happens to it.
 };
 
-void WorkService::Call::arrive()
+void WorkService::Call::admit()
 {
-    const std::optional<Milliseconds> limit = deadlineOf(this->request);
+    const std::optional<Milliseconds> limit = parseDeadline(this->request);
     if (limit && limit->count() <= 0)
         return this->shed("the deadline has passed");
-    SlotVerdict verdict = SlotVerdict::Shed;
+    SlotDecision decision = SlotDecision::Shed;
     {
         const std::lock_guard guard(this->service.lock);
-        this->fate = this->service.faults.drawFate();
-        if (this->fate != CallFate::Shed)
-            verdict = this->service.slots.arrive(this->number);
-        if (verdict == SlotVerdict::Wait)
+        this->callFault = this->service.faults.drawCallFault();
+        if (this->callFault != CallFault::Shed)
+            decision = this->service.slots.admit(this->number);
+        if (decision == SlotDecision::Wait)
             this->service.waitingCalls[this->number] = this->shared_from_this();
     }
-    if (verdict == SlotVerdict::Shed)
-        return this->shed(this->fate == CallFate::Shed ? "shedding load" : "all slots and the line are full");
-    this->exchange->onCallerDisconnected([self = this->shared_from_this()] { self->abandoned(); });
+    if (decision == SlotDecision::Shed)
+        return this->shed(this->callFault == CallFault::Shed ? "shedding load"
+                                                             : "all slots and the line are full");
+    this->exchange->onCallerDisconnected([self = this->shared_from_this()] { self->callerDisconnected(); });
     if (limit)
         this->armDeadline(*limit);
-    if (verdict == SlotVerdict::Start)
+    if (decision == SlotDecision::Start)
         this->start();
 }
 
-void WorkService::Call::startOnItsThread()
+void WorkService::Call::postStart()
 {
     boost::asio::post(this->context, [self = this->shared_from_this()] { self->start(); });
 }
 
 void WorkService::Call::armDeadline(Milliseconds limit)
 {
-    this->deadline.emplace(this->context, limit);
-    this->deadline->async_wait([self = this->shared_from_this()](const boost::system::error_code &error) {
-        if (!error)
-            self->deadlinePassed();
-    });
+    this->deadlineTimer.emplace(this->context, limit);
+    this->deadlineTimer->async_wait(
+        [self = this->shared_from_this()](const boost::system::error_code &error) {
+            if (!error)
+                self->deadlinePassed();
+        });
 }
 
 void WorkService::Call::shed(std::string_view why)
 {
     ++this->service.shed;
     this->ended = true;
-    this->exchange->respond(shedAnswer(why));
+    this->exchange->respond(shedResponse(why));
 }
 
 void WorkService::Call::start()
@@ -143,12 +145,12 @@
         time = this->service.times.draw(this->request.target, sinceStart,
                                         this->service.faults.settings().slowFactor);
     }
-    if (this->fate == CallFate::Hung)
+    if (this->callFault == CallFault::Hung)
         return;
-    if (time.count() == 0 || this->fate == CallFate::Failed)
+    if (time.count() == 0 || this->callFault == CallFault::Failed)
         return this->finish();
-    this->work.emplace(this->context, time);
-    this->work->async_wait([self = this->shared_from_this()](const boost::system::error_code &error) {
+    this->workTimer.emplace(this->context, time);
+    this->workTimer->async_wait([self = this->shared_from_this()](const boost::system::error_code &error) {
         if (!error && !self->ended)
             self->finish();
     });
@@ -159,27 +161,27 @@
     const std::string &crashPrefix = this->service.settings.crashPrefix;
     if (!crashPrefix.empty() && this->request.target.starts_with(crashPrefix))
         return this->service.settings.crash();
-    if (this->fate == CallFate::Failed) {
+    if (this->callFault == CallFault::Failed) {
         ++this->service.failed;
-        return this->endRunning(failedAnswer(500, "failing fast"));
+        return this->endRunningCall(errorResponse(500, "failing fast"));
     }
     ++this->service.served;
-    HttpResponse answer = servedAnswer(this->request, this->service.settings.name);
-    if (this->fate != CallFate::Served)
-        markFault(answer, this->fate);
-    this->endRunning(std::move(answer));
+    HttpResponse answer = servedResponse(this->request, this->service.settings.name);
+    if (this->callFault != CallFault::None)
+        addFaultHeader(answer, this->callFault);
+    this->endRunningCall(std::move(answer));
 }
 
 // A queued call that loses its caller or its time never ran; a running one stops where it is.
-void WorkService::Call::abandoned()
+void WorkService::Call::callerDisconnected()
 {
     if (this->ended)
         return;
     ++this->service.cancelled;
     if (this->running)
-        return this->endRunning(std::nullopt);
+        return this->endRunningCall(std::nullopt);
     this->ended = true;
-    this->leaveLine();
+    this->leaveQueue();
 }
 
 void WorkService::Call::deadlinePassed()
@@ -188,26 +190,26 @@
         return;
     ++this->service.cancelled;
     if (this->running)
-        return this->endRunning(failedAnswer(504, "the deadline passed while the work ran"));
-    this->leaveLine();
+        return this->endRunningCall(errorResponse(504, "the deadline passed while the work ran"));
+    this->leaveQueue();
     this->shed("the deadline passed before the work began");
 }
 
-void WorkService::Call::leaveLine()
+void WorkService::Call::leaveQueue()
 {
     const std::lock_guard guard(this->service.lock);
-    this->service.slots.leave(this->number);
+    this->service.slots.removeWaiting(this->number);
     this->service.waitingCalls.erase(this->number);
 }
 
 // No answer means that the caller has gone.
-void WorkService::Call::endRunning(std::optional<HttpResponse> response)
+void WorkService::Call::endRunningCall(std::optional<HttpResponse> response)
 {
     this->ended = true;
-    if (this->work)
-        this->work->cancel();
-    if (this->deadline)
-        this->deadline->cancel();
+    if (this->workTimer)
+        this->workTimer->cancel();
+    if (this->deadlineTimer)
+        this->deadlineTimer->cancel();
     this->service.history.record([&] {
         return UpstreamEnded{headerText(this->request, "Sagecrank-Call-Id"),
                              headerText(this->request, "Sagecrank-Attempt"), response ? response->status : 0,
@@ -216,7 +218,7 @@
     this->service.startNext();
     if (!response)
         return;
-    if (this->fate == CallFate::Dropped)
+    if (this->callFault == CallFault::Dropped)
         this->exchange->drop();
     else
         this->exchange->respond(std::move(*response));
@@ -238,13 +240,13 @@
 void WorkService::handle(boost::asio::io_context &context, HttpRequest request,
                          std::shared_ptr<HttpExchange> exchange)
 {
-    if (isCommand(request.target)) {
-        this->control(request, *exchange);
+    if (isControlTarget(request.target)) {
+        this->handleControlRequest(request, *exchange);
         return;
     }
     const auto call = std::make_shared<Call>(*this, context, std::move(request), std::move(exchange),
                                              this->nextCall.fetch_add(1, std::memory_order_relaxed));
-    call->arrive();
+    call->admit();
 }
 
 void WorkService::startNext()
@@ -252,24 +254,24 @@
     std::shared_ptr<Call> next;
     {
         const std::lock_guard guard(this->lock);
-        const std::optional<std::uint64_t> number = this->slots.finish();
+        const std::optional<std::uint64_t> number = this->slots.release();
         if (!number)
             return;
         const auto found = this->waitingCalls.find(*number);
         next = found->second;
         this->waitingCalls.erase(found);
     }
-    next->startOnItsThread();
+    next->postStart();
 }
 
-void WorkService::control(const HttpRequest &request, HttpExchange &exchange)
+void WorkService::handleControlRequest(const HttpRequest &request, HttpExchange &exchange)
 {
     if (request.target == "/health") {
-        const UpstreamReport seen = this->reportOutside();
-        const std::string body = "{\"state\":\"" + std::string(upstreamStateNames.name(seen.state))
-                                 + "\",\"running\":" + std::to_string(seen.running)
-                                 + ",\"waiting\":" + std::to_string(seen.waiting) + "}";
-        const bool ready = seen.state == UpstreamState::Ready;
+        const UpstreamReport reported = this->externalReport();
+        const std::string body = "{\"state\":\"" + std::string(upstreamStateNames.name(reported.state))
+                                 + "\",\"running\":" + std::to_string(reported.running)
+                                 + ",\"waiting\":" + std::to_string(reported.waiting) + "}";
+        const bool ready = reported.state == UpstreamState::Ready;
         return exchange.respond(makeResponse(ready ? 200 : 503, "application/json", body));
     }
     if (request.target == "/emulator/counters")
@@ -277,12 +279,12 @@
     if (request.target != "/emulator/faults" || request.method != "POST")
         return exchange.respond(
             makeResponse(404, "text/plain", "use /emulator/faults or /emulator/counters\n"));
-    const Result<UpstreamFaultSettings> wanted = readUpstreamFaults(request.body);
-    if (!wanted)
-        return exchange.respond(makeResponse(400, "text/plain", wanted.error().describe() + "\n"));
+    const Result<UpstreamFaultSettings> requested = parseUpstreamFaultSettings(request.body);
+    if (!requested)
+        return exchange.respond(makeResponse(400, "text/plain", requested.error().describe() + "\n"));
     {
         const std::lock_guard guard(this->lock);
-        this->faults.set(wanted.value());
+        this->faults.set(requested.value());
     }
     this->faultsSet(request.body);
     exchange.respond(makeResponse(200, "application/json", "{}"));
@@ -294,37 +296,38 @@
     return UpstreamReport{this->state, this->slots.running(), this->slots.waiting()};
 }
 
-UpstreamReport WorkService::reportOutside()
+UpstreamReport WorkService::externalReport()
 {
-    const UpstreamReport truth = this->report();
+    const UpstreamReport actual = this->report();
     const Instant when = this->now();
     const std::lock_guard guard(this->lock);
-    this->past.emplace_back(when, truth);
-    while (this->past.front().first < when - longestLag || this->past.size() > maximumPast)
-        this->past.pop_front();
-    const UpstreamFaultSettings &fault = this->faults.settings();
-    if (fault.misleadingHealth)
+    this->reportHistory.emplace_back(when, actual);
+    while (this->reportHistory.front().first < when - maximumLag
+           || this->reportHistory.size() > maximumReportHistory)
+        this->reportHistory.pop_front();
+    const UpstreamFaultSettings &faultSettings = this->faults.settings();
+    if (faultSettings.misleadingHealth)
         return UpstreamReport{UpstreamState::Ready, 0, 0};
-    UpstreamReport seen = this->past.front().second;
-    for (const auto &[time, old] : this->past) {
-        if (time <= when - fault.healthLag)
-            seen = old;
+    UpstreamReport reported = this->reportHistory.front().second;
+    for (const auto &[time, old] : this->reportHistory) {
+        if (time <= when - faultSettings.healthLag)
+            reported = old;
     }
-    return seen;
+    return reported;
 }
 
-std::optional<HttpResponse> WorkService::refuseEarly(const HttpRequest &header)
+std::optional<HttpResponse> WorkService::respondBeforeBody(const HttpRequest &header)
 {
-    if (isCommand(header.target))
+    if (isControlTarget(header.target))
         return std::nullopt;
     const std::lock_guard guard(this->lock);
-    if (!this->faults.drawEarly())
+    if (!this->faults.drawEarlyRefusal())
         return std::nullopt;
     ++this->shed;
-    return shedAnswer("refused before the body was in");
+    return shedResponse("refused before the body was in");
 }
 
-bool WorkService::silent() const
+bool WorkService::suppressesAnnouncements() const
 {
     const std::lock_guard guard(this->lock);
     return this->faults.settings().silent;
--- a/Services/UpstreamEmulator/WorkService.h
+++ b/Services/UpstreamEmulator/WorkService.h
@@ -31,7 +31,7 @@
     std::string name;
     std::size_t slots = 6;
     std::size_t maximumWaiting = 64; // Calls that wait inside; one more is shed.
-    std::vector<PathTime> paths;
+    std::vector<PathServiceTime> paths;
     ColdStart cold;
     std::uint64_t seed = 1;
     std::string crashPrefix;     // Calls whose target begins so end the process; empty: none do.
@@ -61,18 +61,18 @@
     void handle(boost::asio::io_context &context, HttpRequest request,
                 std::shared_ptr<HttpExchange> exchange);
     // Whether a call is refused whose body is still coming.
-    std::optional<HttpResponse> refuseEarly(const HttpRequest &header);
+    std::optional<HttpResponse> respondBeforeBody(const HttpRequest &header);
     void beginDrain() { this->state = UpstreamState::Draining; }
 
     // The truth, and what faults make of it for the outside.
     UpstreamReport report() const;
-    UpstreamReport reportOutside();
-    bool silent() const;
+    UpstreamReport externalReport();
+    bool suppressesAnnouncements() const;
 
 private:
     class Call;
 
-    void control(const HttpRequest &request, HttpExchange &exchange);
+    void handleControlRequest(const HttpRequest &request, HttpExchange &exchange);
     void startNext();
     std::string countersJson() const;
 
@@ -88,9 +88,10 @@
     mutable std::mutex lock;
     SlotPool slots;
     ServiceTime times;
-    UpstreamFaults faults;
+    UpstreamFaultInjector faults;
     std::unordered_map<std::uint64_t, std::shared_ptr<Call>> waitingCalls; // Exactly those in the line.
-    std::deque<std::pair<Instant, UpstreamReport>> past; // Reports for health that lags; a few seconds long.
+    std::deque<std::pair<Instant, UpstreamReport>>
+        reportHistory; // Reports for health that lags; a few seconds long.
 
     std::atomic<std::uint64_t> begun = 0;
     std::atomic<std::uint64_t> served = 0;
--- a/Tests/Emulators/TestUpstream.cpp
+++ b/Tests/Emulators/TestUpstream.cpp
@@ -17,15 +17,15 @@
 
 namespace {
 
-struct DrainRow
+struct DrainCase
 {
     int millisecondsSinceDrain;
     std::size_t running;
     std::optional<std::uint64_t> nodeInFlight;
-    bool mayEnd;
+    bool isComplete;
 };
 
-const DrainRow drainRows[] = {
+const DrainCase drainCases[] = {
     {0, 0, 0, false},
     {2999, 0, 0, false},
     {3000, 0, 0, true},
@@ -37,13 +37,13 @@
     {60'000, 3, 1, true},
 };
 
-struct TimeRow
+struct ServiceTimeCase
 {
     const char *target;
     int milliseconds;
 };
 
-const TimeRow timeRows[] = {
+const ServiceTimeCase serviceTimeCases[] = {
     {"/book", 5},
     {"/book/now", 7},
     {"/other", 1},
@@ -55,13 +55,13 @@
 };
 
 // A service on one thread whose work takes no time unless it hangs.
-class Upstream
+class UpstreamFixture
 {
 public:
-    explicit Upstream(std::size_t slots, std::size_t waiting)
+    explicit UpstreamFixture(std::size_t slots, std::size_t waiting)
         : history("u", true, [this](std::string_view line) { this->lines.emplace_back(line); })
         , service(
-              settingsOf(slots, waiting), this->history, [] { return Instant(std::chrono::seconds(1000)); },
+              makeSettings(slots, waiting), this->history, [] { return Instant(std::chrono::seconds(1000)); },
               [](std::string_view) {})
     {
     }
@@ -82,7 +82,7 @@
     {
         return this->send("GET", "/x", "", std::move(headers));
     }
-    void fault(std::string json)
+    void setFaults(std::string json)
     {
         cr_assert(this->send("POST", "/emulator/faults", std::move(json))->response->status == 200);
     }
@@ -105,7 +105,7 @@
     WorkService service;
 
 private:
-    static WorkSettings settingsOf(std::size_t slots, std::size_t waiting)
+    static WorkSettings makeSettings(std::size_t slots, std::size_t waiting)
     {
         WorkSettings settings;
         settings.name = "u";
@@ -123,17 +123,18 @@
 
 } // namespace
 
-TABLE_TEST(drainEnd, waitsForTheNodeAndForItsOwnWork, drainRows)
+TABLE_TEST(drainEnd, waitsForNodeAndOwnCalls, drainCases)
 {
-    DrainEnd drain;
+    DrainPolicy drain;
     const Instant began{std::chrono::seconds(10)};
-    cr_assert(!drain.mayEnd(began + std::chrono::hours(1), 0, 0), "not before a drain has begun");
+    cr_assert(!drain.isComplete(began + std::chrono::hours(1), 0, 0), "not before a drain has begun");
     drain.begin(began);
-    cr_assert(drain.mayEnd(began + Milliseconds(row.millisecondsSinceDrain), row.running, row.nodeInFlight)
-              == row.mayEnd);
+    cr_assert(
+        drain.isComplete(began + Milliseconds(row.millisecondsSinceDrain), row.running, row.nodeInFlight)
+        == row.isComplete);
 }
 
-TABLE_TEST(serviceTime, comesFromTheLongestPrefixOrTheQuery, timeRows)
+TABLE_TEST(serviceTime, usesTheLongestPrefixOrTheQuery, serviceTimeCases)
 {
     ServiceTime times({{"", 1, WorkDistribution::Fixed},
                        {"/book", 5, WorkDistribution::Fixed},
@@ -142,7 +143,7 @@
     cr_assert(times.draw(row.target, Milliseconds(0), 1) == Milliseconds(row.milliseconds));
 }
 
-Test(serviceTime, coldStartWearsOffEvenly)
+Test(serviceTime, coldStartSlowdownFallsLinearly)
 {
     ServiceTime times({{"", 10, WorkDistribution::Fixed}}, ColdStart{Milliseconds(1000), 5}, 1);
     cr_assert(times.draw("/", Milliseconds(0), 1) == Milliseconds(50));
@@ -151,10 +152,10 @@
     cr_assert(times.draw("/", Milliseconds(1000), 3) == Milliseconds(30), "and a fault makes it slow again");
 }
 
-Test(serviceTime, distributionsKeepTheirMean)
+Test(serviceTime, distributionsHaveTheConfiguredMean)
 {
     for (const char *text : {"=4:exponential", "=4:lognormal"}) {
-        ServiceTime times({parsePathTime(text).value()}, {}, 1);
+        ServiceTime times({parsePathServiceTime(text).value()}, {}, 1);
         double sum = 0;
         for (int count = 0; count < 20'000; ++count)
             sum += static_cast<double>(times.draw("/", Milliseconds(0), 1).count()) / 1000;
@@ -162,79 +163,80 @@
     }
 }
 
-Test(serviceTime, malformedPathsAreRefused)
+Test(serviceTime, malformedPathsAreRejected)
 {
     for (const char *text : {"", "/book", "/book=", "/book=x", "/book=-1", "/book=5:normal", "/book=5:"})
-        cr_assert(!parsePathTime(text), "%s", text);
+        cr_assert(!parsePathServiceTime(text), "%s", text);
 }
 
-Test(workService, callsBeyondSlotsWaitAndBeyondThatAreShed)
+Test(workService, excessCallsWaitThenAreShed)
 {
-    Upstream upstream(1, 1);
-    upstream.fault(R"({"hang_share":1})");
+    UpstreamFixture upstream(1, 1);
+    upstream.setFaults(R"({"hang_share":1})");
     const auto hung = upstream.call();
-    upstream.fault("{}");
-    const auto waits = upstream.call();
+    upstream.setFaults("{}");
+    const auto waiting = upstream.call();
     const auto shed = upstream.call();
-    cr_assert(!hung->response && !waits->response);
+    cr_assert(!hung->response && !waiting->response);
     cr_assert(notRun(*shed));
     cr_assert(upstream.events("upstream.began") == 1, "neither the waiting nor the shed call has begun");
     hung->disconnectCaller();
     upstream.poll();
-    cr_assert(waits->response && waits->response->status == 200, "the slot of the cancelled call went on");
+    cr_assert(waiting->response && waiting->response->status == 200,
+              "the slot of the cancelled call went on");
     cr_assert(upstream.service.report().running == 0);
 }
 
-Test(workService, aWaitingCallThatIsGivenUpOnNeverBegins)
+Test(workService, abandonedWaitingCallNeverStarts)
 {
-    Upstream upstream(1, 4);
-    upstream.fault(R"({"hang_share":1})");
+    UpstreamFixture upstream(1, 4);
+    upstream.setFaults(R"({"hang_share":1})");
     const auto hung = upstream.call();
-    const auto waits = upstream.call();
-    waits->disconnectCaller();
+    const auto waiting = upstream.call();
+    waiting->disconnectCaller();
     hung->disconnectCaller();
     upstream.poll();
     cr_assert(upstream.events("upstream.began") == 1);
     cr_assert(upstream.service.report().running == 0 && upstream.service.report().waiting == 0);
 }
 
-Test(workService, aPassedDeadlineIsNotRun)
+Test(workService, expiredCallIsNotRun)
 {
-    Upstream upstream(1, 1);
+    UpstreamFixture upstream(1, 1);
     cr_assert(notRun(*upstream.call({{"Sagecrank-Deadline-Ms", "0"}})));
     cr_assert(upstream.events("upstream.began") == 0);
 }
 
-Test(workService, aShedCallIsNeverRecordedAsBegun)
+Test(workService, shedCallIsNotRecordedAsBegun)
 {
-    Upstream upstream(4, 4);
-    upstream.fault(R"({"shed_share":1})");
+    UpstreamFixture upstream(4, 4);
+    upstream.setFaults(R"({"shed_share":1})");
     cr_assert(notRun(*upstream.call()));
     cr_assert(upstream.events("upstream.began") == 0);
 }
 
-Test(workService, aDroppedCallRanAndGetsNoAnswer)
+Test(workService, droppedCallRunsAndGetsNoResponse)
 {
-    Upstream upstream(4, 4);
-    upstream.fault(R"({"drop_share":1})");
+    UpstreamFixture upstream(4, 4);
+    upstream.setFaults(R"({"drop_share":1})");
     const auto exchange = upstream.call();
     cr_assert(exchange->dropped && !exchange->response);
     cr_assert(upstream.events("upstream.began") == 1 && upstream.events("upstream.ended") == 1);
 }
 
-Test(workService, healthMisleadsOnCommand)
+Test(workService, misleadingHealthReportsReady)
 {
-    Upstream upstream(4, 4);
+    UpstreamFixture upstream(4, 4);
     upstream.service.beginDrain();
     cr_assert(upstream.send("GET", "/health", "")->response->status == 503);
-    upstream.fault(R"({"misleading_health":true})");
+    upstream.setFaults(R"({"misleading_health":true})");
     cr_assert(upstream.send("GET", "/health", "")->response->status == 200);
 }
 
-Test(answer, carriesWhatItAnswers)
+Test(answer, echoesTheRequest)
 {
     const HttpRequest request{"POST", "/book?answer_bytes=100", {{"sagecrank-call-id", "c1"}}, "hello"};
-    const std::string body = answerBody(request);
+    const std::string body = responseBody(request);
     cr_assert(body.starts_with(
         "call=c1\nmethod=POST\ntarget=/book?answer_bytes=100\nbody=" + historyDigest("hello") + "\n"));
     cr_assert(body.size() == 100);
--- a/Tests/Platform/TestFaultyServer.cpp
+++ b/Tests/Platform/TestFaultyServer.cpp
@@ -35,9 +35,9 @@
     FaultyServer()
     {
         HttpServerSettings settings;
-        settings.rewriteResponse = breakMarked;
+        settings.rewriteResponse = applyMarkedFault;
         settings.respondBeforeBody = Platform::wrapEarlyResponse(
-            "i-1", [this](const HttpRequest &header) { return this->service.refuseEarly(header); });
+            "i-1", [this](const HttpRequest &header) { return this->service.respondBeforeBody(header); });
         this->server.emplace(this->context, settings,
                              Platform::wrapPlatformHandler(
                                  "i-1", [this](HttpRequest request, std::shared_ptr<HttpExchange> exchange) {
