--- a/Services/UpstreamEmulator/Announcer.cpp
+++ b/Services/UpstreamEmulator/Announcer.cpp
@@ -1,4 +1,4 @@
-// Sends the announcements.
+// Sends announcements periodically and on request.
 #include <UpstreamEmulator/Announcer.h>
 
 #include <boost/json.hpp>
--- a/Services/UpstreamEmulator/Announcer.h
+++ b/Services/UpstreamEmulator/Announcer.h
@@ -1,5 +1,5 @@
-// Tells the node beside the upstream every second that the upstream is there, and in which state. Decides
-// when a draining upstream may end.
+// Announces the upstream and its state to the node on its host once per second, and decides when a draining
+// upstream may stop.
 #pragma once
 
 #include <LibCore/Time.h>
@@ -19,27 +19,27 @@
 
 struct AnnouncerSettings
 {
-    std::string node; // The node's admin address; empty means that nothing is announced.
+    std::string node; // The node's admin address; empty disables announcements.
     std::string cluster;
-    std::string address; // Where the node reaches this upstream.
+    std::string address; // Address at which the node reaches this upstream.
     std::uint32_t slots = 6;
     Milliseconds interval{1000};
-    // For a platform with a check-in of its own; not set: this project's announcement.
+    // Builds the request for a platform with its own check-in protocol; if unset, POST /v1/upstream is used.
     std::function<HttpRequest(UpstreamState)> makeRequest;
 };
 
-// When a draining upstream may end. Others learn of the drain through gossip, so calls still come in for a
-// while; ending as soon as nothing runs would cut the next one.
+// Decides when a draining upstream may stop. Other nodes learn of the drain through gossip, so calls keep
+// arriving for a while; stopping as soon as none is running would break the next one.
 class DrainPolicy
 {
 public:
     static constexpr Milliseconds minimumDuration{3000};
     static constexpr Milliseconds maximumDuration{
-        60'000}; // Then it ends whatever runs, so that a host can be replaced.
+        60'000}; // Stops even with calls running, so that the host can be replaced.
 
     void begin(Instant now) { this->since = now; }
     bool draining() const { return this->since.has_value(); }
-    // `nodeInFlight` is none when the node did not answer; then only the upstream's own work counts.
+    // `nodeInFlight` is nullopt if the node did not respond; then only the upstream's own calls count.
     bool isComplete(Instant now, std::size_t running, std::optional<std::uint64_t> nodeInFlight) const;
 
 private:
@@ -49,13 +49,13 @@
 class Announcer
 {
 public:
-    using State = std::function<std::optional<UpstreamState>()>; // None keeps silent.
+    using State = std::function<std::optional<UpstreamState>()>; // nullopt skips the announcement.
     using Answer = std::function<void(std::optional<std::uint64_t> inFlight)>;
 
     Announcer(boost::asio::io_context &context, AnnouncerSettings settings, State state, Answer answer);
 
     void start() { this->tick(); }
-    // Once, out of turn.
+    // Sends one announcement immediately.
     void announce(UpstreamState state, Answer answer);
 
 private:
--- a/Services/UpstreamEmulator/Answer.cpp
+++ b/Services/UpstreamEmulator/Answer.cpp
@@ -1,4 +1,4 @@
-// Builds the answers.
+// Builds responses and corrupts the marked ones.
 #include <UpstreamEmulator/Answer.h>
 
 #include <UpstreamEmulator/ServiceTime.h>
@@ -17,7 +17,7 @@
 constexpr std::string_view faultHeader = "Sagecrank-Emulator-Fault";
 constexpr std::string_view malformedResponse = "\x16\x03 these bytes are no answer\r\n\r\n";
 
-// Takes the line of that header out; what it said.
+// Removes the header line and returns its value, or an empty string if there is none.
 std::string removeHeader(std::string &answer, std::string_view name)
 {
     const std::string start = "\r\n" + std::string(name) + ": ";
--- a/Services/UpstreamEmulator/Main.cpp
+++ b/Services/UpstreamEmulator/Main.cpp
@@ -1,5 +1,5 @@
-// sagecrank-upstream-emulator: stands in for a host's service in tests and measurements. Takes work into
-// slots, announces itself to the node beside it, drains on SIGTERM and misbehaves on command.
+// sagecrank-upstream-emulator: emulates a service on a host for tests and measurements. Runs calls in slots,
+// announces itself to the host's node, drains on SIGTERM and injects faults on command.
 #include <UpstreamEmulator/Announcer.h>
 #include <UpstreamEmulator/Answer.h>
 #include <UpstreamEmulator/WorkService.h>
@@ -25,7 +25,7 @@
 
 constexpr int exitFailure = 1;
 
-// As the shell reports a process that aborted.
+// The shell's exit code for a process that aborted.
 constexpr int exitAborted = 134;
 
 struct Settings
@@ -38,12 +38,12 @@
     WorkSettings work;
     Milliseconds warming{0};
     bool announceGoneFirst =
-        false; // Says goodbye where others say that they drain, and serves on for as long.
-    // Names this start where upstreams have such names; then it speaks the users' platform's protocol.
+        false; // Announces Gone instead of Draining on SIGTERM, and keeps serving as long.
+    // The name of this process start. If set, the emulator speaks the users' platform's protocol.
     std::string instance;
 };
 
-// Owns the threads and joins the parts.
+// Owns the threads and connects the components.
 class Program
 {
 public:
@@ -116,7 +116,7 @@
         return this->servers.back()->listen(this->settings.listen);
     }
 
-    // The first signal drains; a second one ends at once.
+    // The first signal starts a drain; a second one stops the process immediately.
     void awaitSignal()
     {
         this->signals.async_wait([this](const boost::system::error_code &error, int) {
@@ -162,7 +162,7 @@
     HistoryRecorder history;
     EventLog log;
     asio::io_context mainContext{1};
-    std::vector<std::unique_ptr<asio::io_context>> contexts; // One for each further thread.
+    std::vector<std::unique_ptr<asio::io_context>> contexts; // One for each thread besides the main one.
     WorkService service;
     std::vector<std::unique_ptr<HttpServer>> servers;
     asio::signal_set signals;
@@ -171,7 +171,7 @@
     Instant started;
 };
 
-// Check-ins of this start, numbered.
+// Builds check-in requests of this process start, with increasing sequence numbers.
 std::function<HttpRequest(UpstreamState)> makeCheckInRequests(const Settings &settings)
 {
     const auto now = std::chrono::system_clock::now().time_since_epoch();
--- a/Services/UpstreamEmulator/ServiceTime.cpp
+++ b/Services/UpstreamEmulator/ServiceTime.cpp
@@ -1,4 +1,4 @@
-// Draws service times.
+// Parses path service times and draws from them.
 #include <UpstreamEmulator/ServiceTime.h>
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr double maximumMilliseconds = 600'000;
-constexpr double lognormalSigma = 0.6; // A tail as services have it: the 99th percentile at about 4 medians.
+constexpr double lognormalSigma = 0.6; // The 99th percentile is about 4 medians, typical of services.
 
 std::optional<double> parseMilliseconds(std::string_view text)
 {
@@ -100,7 +100,7 @@
         case WorkDistribution::Exponential:
             return path.meanMilliseconds * std::exponential_distribution<double>(1)(this->random);
         case WorkDistribution::Lognormal: {
-            // The location is chosen so that the mean is the one asked for.
+            // This location makes the distribution's mean equal 1.
             const double location = -lognormalSigma * lognormalSigma / 2;
             return path.meanMilliseconds
                    * std::lognormal_distribution<double>(location, lognormalSigma)(this->random);
--- a/Services/UpstreamEmulator/ServiceTime.h
+++ b/Services/UpstreamEmulator/ServiceTime.h
@@ -1,5 +1,5 @@
-// How long a piece of work takes: a distribution for each path, slower while the process is cold and slower
-// again under a fault. Draws from a seeded generator; no clock.
+// Draws service times from a distribution per path, scaled up during a cold start and by the slow fault. Uses
+// a seeded generator and no clock.
 #pragma once
 
 #include <LibCore/EnumNames.h>
@@ -24,18 +24,18 @@
 
 struct PathServiceTime
 {
-    std::string prefix; // The longest prefix that matches counts; the empty one matches every path.
+    std::string prefix; // The longest matching prefix applies; the empty one matches every path.
     double meanMilliseconds = 0;
     WorkDistribution distribution = WorkDistribution::Fixed;
 };
 
 struct ColdStart
 {
-    Milliseconds length{0}; // The slowness falls evenly to none over this time.
-    double factor = 1;      // At the very start work takes this many times as long.
+    Milliseconds length{0}; // The slowdown falls linearly to none over this time.
+    double factor = 1;      // Slowdown at process start.
 };
 
-// "prefix=mean[:distribution]", such as "/book=5:exponential". Errors: InvalidInput.
+// Parses "prefix=mean[:distribution]", such as "/book=5:exponential". Fails with InvalidInput.
 Result<PathServiceTime> parsePathServiceTime(std::string_view text);
 
 class ServiceTime
@@ -43,7 +43,7 @@
 public:
     ServiceTime(std::vector<PathServiceTime> paths, ColdStart cold, std::uint64_t seed);
 
-    // `target` may carry "?work_ms=<number>", which takes the place of the distribution.
+    // "?work_ms=<number>" in `target` overrides the distribution.
     Microseconds draw(std::string_view target, Duration sinceStart, double slowFactor);
 
 private:
@@ -54,7 +54,7 @@
     std::mt19937_64 random;
 };
 
-// The value of `name` in the target's query, or empty.
+// Returns the value of `name` in the target's query, or an empty view.
 std::string_view queryValue(std::string_view target, std::string_view name);
 
 } // namespace Sagecrank
--- a/Services/UpstreamEmulator/SlotPool.cpp
+++ b/Services/UpstreamEmulator/SlotPool.cpp
@@ -1,4 +1,4 @@
-// First come, first served.
+// Hands out slots in FIFO order.
 #include <UpstreamEmulator/SlotPool.h>
 
 #include <algorithm>
--- a/Services/UpstreamEmulator/SlotPool.h
+++ b/Services/UpstreamEmulator/SlotPool.h
@@ -1,5 +1,5 @@
-// The slots of an upstream and the line of calls inside it that wait for one. No sockets, no clock; the
-// owner guards it when several threads use it.
+// An upstream's slots and the queue of calls that wait for one. Uses neither sockets nor clocks. Not
+// thread-safe; the owner locks it.
 #pragma once
 
 #include <cstddef>
@@ -24,15 +24,15 @@
     std::size_t waiting() const { return this->queue.size(); }
 
     SlotDecision admit(std::uint64_t call);
-    // Frees one slot and names the call that takes it; that call starts now.
+    // Releases one slot. Returns the waiting call that takes it over, which must start now.
     std::optional<std::uint64_t> release();
-    // Takes a call out of the line; false when it is not waiting there.
+    // Removes a call from the queue; returns false if it is not queued.
     bool removeWaiting(std::uint64_t call);
 
 private:
     std::size_t slots;
     std::size_t maximumWaiting;
-    std::size_t runningCalls = 0; // At most `slots`; the line is empty unless all are busy.
+    std::size_t runningCalls = 0; // At most `slots`; the queue is empty unless all slots are taken.
     std::deque<std::uint64_t> queue;
 };
 
--- a/Services/UpstreamEmulator/UpstreamFaults.cpp
+++ b/Services/UpstreamEmulator/UpstreamFaults.cpp
@@ -1,4 +1,4 @@
-// Reads fault settings and draws the fate of calls from a seeded generator, so that a run can be repeated.
+// Parses fault settings and draws faults from a seeded generator, so that a run can be reproduced.
 #include <UpstreamEmulator/UpstreamFaults.h>
 
 #include <boost/json.hpp>
--- a/Services/UpstreamEmulator/UpstreamFaults.h
+++ b/Services/UpstreamEmulator/UpstreamFaults.h
@@ -1,5 +1,5 @@
-// The upstream's bad behaviour, switched on by command: slow, failing fast, shedding, hanging, closing
-// without an answer, answers that are broken off, spoilt or doubled, and health that misleads.
+// Fault injection for the upstream emulator: slow work, fast failures, shedding, hangs, connections closed
+// without a response, truncated, malformed or duplicated responses, and misleading health reports.
 #pragma once
 
 #include <LibCore/EnumNames.h>
@@ -13,23 +13,22 @@
 
 namespace Sagecrank {
 
-// What becomes of one call.
+// The fault injected into one call.
 enum class CallFault : std::uint8_t {
     None,
-    Shed,           // Although slots are free.
-    Failed,         // Answered 500 at once, after it began.
-    Hung,           // It begins and never ends.
-    Dropped,        // It runs, and its connection is then closed.
-    Truncated,      // It runs, and its connection is closed in the midst of the answer.
-    Malformed,      // It runs, and bytes come that are no answer.
-    Unframed,       // It runs; its answer states no length and ends with the connection.
-    Duplicated,     // It runs, and its answer comes twice.
-    DuplicatedLate, // The same, the second time where the answer to the next call is expected.
-    RefusedEarly,   // It is refused, not run, before its body is in; concerns calls with a body that comes
-                    // later.
+    Shed,           // Shed even if slots are free.
+    Failed,         // Starts and fails with 500 immediately.
+    Hung,           // Starts and never ends.
+    Dropped,        // Runs, then the connection closes without a response.
+    Truncated,      // Runs, and the connection closes in the middle of the response.
+    Malformed,      // Runs, and bytes are sent that are not an HTTP response.
+    Unframed,       // Runs; the response has no Content-Length and ends when the connection closes.
+    Duplicated,     // Runs, and the response is sent twice.
+    DuplicatedLate, // As Duplicated, but the copy is sent where the next call's response is expected.
+    RefusedEarly, // Refused without running before its body arrives; applies to calls whose body comes later.
 };
 
-// As the commands name the share of each; Served is what is left.
+// The key in the fault settings that holds the share of each fault; the remaining calls get None.
 inline constexpr EnumNames<CallFault, 10> callFaultShareKeys{{
     {CallFault::Shed, "shed_share"},
     {CallFault::Failed, "fail_share"},
@@ -45,15 +44,16 @@
 
 struct UpstreamFaultSettings
 {
-    double slowFactor = 1;                                      // Work takes this many times as long.
-    std::array<double, callFaultShareKeys.size() + 1> shares{}; // Of calls, by CallFault; 0 to 1 together.
-    bool misleadingHealth = false; // Health and announcements say ready and idle whatever is true.
-    Milliseconds healthLag{0};     // Health and announcements tell of the state this long ago.
+    double slowFactor = 1; // Multiplies service times.
+    std::array<double, callFaultShareKeys.size() + 1>
+        shares{};                  // Shares of calls, indexed by CallFault; meant to sum to at most 1.
+    bool misleadingHealth = false; // Health and announcements always report ready and idle.
+    Milliseconds healthLag{0};     // Health and announcements report the state from this long ago.
     bool silent = false;           // No announcements.
     std::uint64_t seed = 1;
 };
 
-// Reads the JSON of POST /emulator/faults. A key that is left out has its default, so "{}" mends everything.
+// Parses the body of POST /emulator/faults. Missing keys take their defaults, so "{}" clears all faults.
 Result<UpstreamFaultSettings> parseUpstreamFaultSettings(std::string_view json);
 
 class UpstreamFaultInjector
@@ -62,7 +62,7 @@
     const UpstreamFaultSettings &settings() const { return this->current; }
 
     CallFault drawCallFault();
-    bool drawEarlyRefusal(); // For a call whose body is still coming.
+    bool drawEarlyRefusal(); // For a call whose body has not arrived yet.
     void set(const UpstreamFaultSettings &settings);
 
 private:
--- a/Services/UpstreamEmulator/WorkService.cpp
+++ b/Services/UpstreamEmulator/WorkService.cpp
@@ -1,4 +1,4 @@
-// The life of a call inside the upstream: shed, waiting, running, ended.
+// The states of a call in the upstream: shed, waiting, running, ended.
 #include <UpstreamEmulator/WorkService.h>
 
 #include <UpstreamEmulator/Answer.h>
@@ -39,7 +39,7 @@
 
 } // namespace
 
-// Everything but its place in the line belongs to the thread of its context.
+// Used only on the thread of its context, except for its place in the queue, which the service's lock guards.
 class WorkService::Call : public std::enable_shared_from_this<WorkService::Call>
 {
 public:
@@ -75,7 +75,7 @@
     std::optional<boost::asio::steady_timer> deadlineTimer;
     CallFault callFault = CallFault::None;
     bool running = false; // Holds a slot.
-    bool ended = false;   // Answered or given up on; nothing else happens to it.
+    bool ended = false;   // Responded to or cancelled.
 };
 
 void WorkService::Call::admit()
@@ -127,7 +127,7 @@
 void WorkService::Call::start()
 {
     if (this->ended) {
-        // It was given up on while its start was under way to this thread; the slot goes on to the next.
+        // Cancelled while its start was posted to this thread; pass the slot to the next call.
         this->service.startNext();
         return;
     }
@@ -172,7 +172,7 @@
     this->endRunningCall(std::move(answer));
 }
 
-// A queued call that loses its caller or its time never ran; a running one stops where it is.
+// A queued call whose caller disconnects or whose deadline passes never runs; a running one is stopped.
 void WorkService::Call::callerDisconnected()
 {
     if (this->ended)
@@ -202,7 +202,7 @@
     this->service.waitingCalls.erase(this->number);
 }
 
-// No answer means that the caller has gone.
+// No response means that the caller has disconnected.
 void WorkService::Call::endRunningCall(std::optional<HttpResponse> response)
 {
     this->ended = true;
--- a/Services/UpstreamEmulator/WorkService.h
+++ b/Services/UpstreamEmulator/WorkService.h
@@ -1,6 +1,5 @@
-// The upstream emulator's work: takes calls into slots, lets them take their time, ends them early when the
-// caller goes or the deadline passes, and answers. Several threads, each with its own io_context, share the
-// slots.
+// Runs calls in slots for their service time and responds. Calls end early when the caller disconnects or the
+// deadline passes. Several threads, each with its own io_context, share the slots.
 #pragma once
 
 #include <UpstreamEmulator/ServiceTime.h>
@@ -30,15 +29,15 @@
 {
     std::string name;
     std::size_t slots = 6;
-    std::size_t maximumWaiting = 64; // Calls that wait inside; one more is shed.
+    std::size_t maximumWaiting = 64; // Calls that wait for a slot; further calls are shed.
     std::vector<PathServiceTime> paths;
     ColdStart cold;
     std::uint64_t seed = 1;
-    std::string crashPrefix;     // Calls whose target begins so end the process; empty: none do.
+    std::string crashPrefix;     // Calls whose target has this prefix crash the process; empty disables it.
     std::function<void()> crash; // Does not return.
 };
 
-// What the upstream says of itself.
+// The state and load that the upstream reports.
 struct UpstreamReport
 {
     UpstreamState state = UpstreamState::Ready;
@@ -50,21 +49,21 @@
 {
 public:
     using Now = std::function<Instant()>;
-    using FaultsSet = std::function<void(std::string_view json)>; // Told of each change by command.
+    using FaultsSet = std::function<void(std::string_view json)>; // Called with each new fault setting.
 
     WorkService(WorkSettings settings, HistoryRecorder &history, Now now, FaultsSet faultsSet);
     ~WorkService();
     WorkService(const WorkService &) = delete;
     WorkService &operator=(const WorkService &) = delete;
 
-    // Called on the thread of `context`, which also ends the call.
+    // Must be called on the thread of `context`, which also runs the call.
     void handle(boost::asio::io_context &context, HttpRequest request,
                 std::shared_ptr<HttpExchange> exchange);
-    // Whether a call is refused whose body is still coming.
+    // Returns a response if the early refusal fault rejects this call before its body arrives.
     std::optional<HttpResponse> respondBeforeBody(const HttpRequest &header);
     void beginDrain() { this->state = UpstreamState::Draining; }
 
-    // The truth, and what faults make of it for the outside.
+    // The actual state, and the state as faults distort it for health checks and announcements.
     UpstreamReport report() const;
     UpstreamReport externalReport();
     bool suppressesAnnouncements() const;
@@ -84,14 +83,15 @@
     std::atomic<UpstreamState> state = UpstreamState::Ready;
     std::atomic<std::uint64_t> nextCall = 1;
 
-    // Guards all that follows; held for a few instructions only.
+    // Guards the members from here to `reportHistory`; held only briefly.
     mutable std::mutex lock;
     SlotPool slots;
     ServiceTime times;
     UpstreamFaultInjector faults;
-    std::unordered_map<std::uint64_t, std::shared_ptr<Call>> waitingCalls; // Exactly those in the line.
+    std::unordered_map<std::uint64_t, std::shared_ptr<Call>>
+        waitingCalls; // Exactly the calls queued in `slots`.
     std::deque<std::pair<Instant, UpstreamReport>>
-        reportHistory; // Reports for health that lags; a few seconds long.
+        reportHistory; // Recent reports for lagging health, oldest first.
 
     std::atomic<std::uint64_t> begun = 0;
     std::atomic<std::uint64_t> served = 0;
--- a/Tests/Emulators/TestUpstream.cpp
+++ b/Tests/Emulators/TestUpstream.cpp
@@ -1,5 +1,4 @@
-// The upstream emulator: its slots, its service times, when a drain may end, and what its answers and
-// refusals promise.
+// The upstream emulator: slots, service times, drain completion, and the guarantees of its responses.
 #include "FakeExchange.h"
 
 #include <UpstreamEmulator/Announcer.h>
@@ -54,7 +53,7 @@
     {"/x?nowork_ms=9", 1},
 };
 
-// A service on one thread whose work takes no time unless it hangs.
+// A single-threaded service whose calls take no time unless they hang.
 class UpstreamFixture
 {
 public:
@@ -127,7 +126,7 @@
 {
     DrainPolicy drain;
     const Instant began{std::chrono::seconds(10)};
-    cr_assert(!drain.isComplete(began + std::chrono::hours(1), 0, 0), "not before a drain has begun");
+    cr_assert(!drain.isComplete(began + std::chrono::hours(1), 0, 0), "not complete before the drain starts");
     drain.begin(began);
     cr_assert(
         drain.isComplete(began + Milliseconds(row.millisecondsSinceDrain), row.running, row.nodeInFlight)
@@ -149,7 +148,8 @@
     cr_assert(times.draw("/", Milliseconds(0), 1) == Milliseconds(50));
     cr_assert(times.draw("/", Milliseconds(500), 1) == Milliseconds(30));
     cr_assert(times.draw("/", Milliseconds(1000), 1) == Milliseconds(10));
-    cr_assert(times.draw("/", Milliseconds(1000), 3) == Milliseconds(30), "and a fault makes it slow again");
+    cr_assert(times.draw("/", Milliseconds(1000), 3) == Milliseconds(30),
+              "the slow fault applies after the cold start");
 }
 
 Test(serviceTime, distributionsHaveTheConfiguredMean)
@@ -179,11 +179,11 @@
     const auto shed = upstream.call();
     cr_assert(!hung->response && !waiting->response);
     cr_assert(notRun(*shed));
-    cr_assert(upstream.events("upstream.began") == 1, "neither the waiting nor the shed call has begun");
+    cr_assert(upstream.events("upstream.began") == 1, "neither the waiting nor the shed call has started");
     hung->disconnectCaller();
     upstream.poll();
     cr_assert(waiting->response && waiting->response->status == 200,
-              "the slot of the cancelled call went on");
+              "the waiting call gets the slot of the cancelled call");
     cr_assert(upstream.service.report().running == 0);
 }
 
