--- a/Tests/LibConfig/TestHostileInput.cpp
+++ b/Tests/LibConfig/TestHostileInput.cpp
@@ -3,7 +3,7 @@
 #include <LibConfig/Delta.h>
 
 #include <LibConfig/Samples.h>
-#include <Support/Mutations.h>
+#include <Support/InputMutator.h>
 #include <Support/TableTest.h>
 
 using namespace Sagecrank;
--- a/Tests/LibNet/TestHostileInput.cpp
+++ b/Tests/LibNet/TestHostileInput.cpp
@@ -6,7 +6,7 @@
 
 #include "RawHttp.h"
 
-#include <Support/Mutations.h>
+#include <Support/InputMutator.h>
 #include <Support/TableTest.h>
 
 #include <boost/asio/post.hpp>
--- a/Tests/LibWire/TestHostileInput.cpp
+++ b/Tests/LibWire/TestHostileInput.cpp
@@ -2,7 +2,7 @@
 #include <LibWire/Frame.h>
 #include <LibWire/PeerMessages.h>
 
-#include <Support/Mutations.h>
+#include <Support/InputMutator.h>
 #include <Support/TableTest.h>
 
 using namespace Sagecrank;
--- a/Tests/Platform/TestHostileInput.cpp
+++ b/Tests/Platform/TestHostileInput.cpp
@@ -5,7 +5,7 @@
 #include <LibNet/FramedConnection.h>
 #include <LibNet/HttpServer.h>
 #include <Node/Upstream/UpstreamPresence.h>
-#include <Support/Mutations.h>
+#include <Support/InputMutator.h>
 #include <Support/TableTest.h>
 #include <platform/ConfigurationDocument.h>
 #include <platform/InstanceApi.h>
