--- a/Tests/LibConfig/TestHostileInput.cpp
+++ b/Tests/LibConfig/TestHostileInput.cpp
@@ -22,9 +22,9 @@
     const SiteConfiguration next = sampleSite(2, {changed, sampleSection("lookup")});
     const ObjectBytes good = encodeDelta(makeDelta(held, next));
     const std::string text(reinterpret_cast<const char *>(good.data()), good.size());
-    Mutations mutations(row);
-    for (std::size_t round = 0; round < Mutations::rounds(3000); ++round) {
-        const std::string bad = mutations.of(text);
+    InputMutator mutator(row);
+    for (std::size_t round = 0; round < InputMutator::scaledRounds(3000); ++round) {
+        const std::string bad = mutator.mutate(text);
         const auto delta = decodeDelta(std::as_bytes(std::span<const char>(bad)));
         if (!delta)
             continue;
--- a/Tests/LibNet/TestHostileInput.cpp
+++ b/Tests/LibNet/TestHostileInput.cpp
@@ -38,7 +38,7 @@
 {
 public:
     explicit CorruptingServer(std::uint64_t seed)
-        : mutations(seed)
+        : mutator(seed)
         , acceptor(this->context, tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0))
         , thread([this] { this->serve(); })
     {
@@ -66,11 +66,11 @@
             tcp::socket socket = this->acceptor.accept(ignored);
             std::string request;
             boost::asio::read_until(socket, boost::asio::dynamic_buffer(request), "\r\n\r\n", ignored);
-            boost::asio::write(socket, boost::asio::buffer(this->mutations.of(validResponse)), ignored);
+            boost::asio::write(socket, boost::asio::buffer(this->mutator.mutate(validResponse)), ignored);
         }
     }
 
-    Mutations mutations;
+    InputMutator mutator;
     boost::asio::io_context context;
     tcp::acceptor acceptor;
     std::atomic<bool> stopping = false;
@@ -91,9 +91,9 @@
     });
     cr_assert(server.listen("127.0.0.1:0").has_value());
     std::thread thread([&context] { context.run_for(std::chrono::seconds(100)); });
-    Mutations mutations(row);
-    for (std::size_t round = 0; round < Mutations::rounds(250); ++round) {
-        const std::string mutated = mutations.of(round % 2 == 0 ? validRequest : validChunkedRequest);
+    InputMutator mutator(row);
+    for (std::size_t round = 0; round < InputMutator::scaledRounds(250); ++round) {
+        const std::string mutated = mutator.mutate(round % 2 == 0 ? validRequest : validChunkedRequest);
         boost::system::error_code sendError;
         const std::string response = exchangeRaw(server.address(), mutated, sendError);
         cr_assert(response.empty() || response.starts_with("HTTP/1.1 "), "round %zu: %s", round,
@@ -111,7 +111,7 @@
     const CorruptingServer server(row);
     boost::asio::io_context context(1);
     HttpClient client(context, {});
-    const std::size_t calls = Mutations::rounds(250);
+    const std::size_t calls = InputMutator::scaledRounds(250);
     std::size_t ended = 0;
     std::function<void()> sendNext = [&] {
         if (ended == calls)
--- a/Tests/LibWire/TestHostileInput.cpp
+++ b/Tests/LibWire/TestHostileInput.cpp
@@ -51,10 +51,10 @@
 // A mutated stream yields an error or messages; the reader buffers at most one frame of the maximum size.
 TABLE_TEST(hostileInput, streams, seeds)
 {
-    Mutations mutations(row);
+    InputMutator mutator(row);
     const std::string valid = makeStream();
-    for (std::size_t round = 0; round < Mutations::rounds(3000); ++round) {
-        const std::string mutated = mutations.of(valid);
+    for (std::size_t round = 0; round < InputMutator::scaledRounds(3000); ++round) {
+        const std::string mutated = mutator.mutate(valid);
         FrameReader reader;
         (void)reader.feed(std::span<const char>(mutated), [](FrameType type, std::span<const char> payload) {
             if (type == FrameType::CallRequest)
--- a/Tests/Platform/TestHostileInput.cpp
+++ b/Tests/Platform/TestHostileInput.cpp
@@ -41,9 +41,9 @@
 // that applies it.
 TABLE_TEST(hostileInput, configurations, seeds)
 {
-    Mutations mutations(row);
-    for (std::size_t round = 0; round < Mutations::rounds(3000); ++round) {
-        const auto decoded = Platform::decodeConfiguration(mutations.of(validDocument), "site");
+    InputMutator mutator(row);
+    for (std::size_t round = 0; round < InputMutator::scaledRounds(3000); ++round) {
+        const auto decoded = Platform::decodeConfiguration(mutator.mutate(validDocument), "site");
         if (!decoded || !checkSite(decoded.value()))
             continue;
         ConfigurationHolder holder("site", {});
@@ -57,11 +57,11 @@
 // An accepted check-in has a service, a valid address, and slots.
 TABLE_TEST(hostileInput, checkIns, seeds)
 {
-    Mutations mutations(row);
+    InputMutator mutator(row);
     UpstreamPresence presence({[](const std::string &) {}, [](const UpstreamAnnouncement &) {},
                                [](const std::string &, UpstreamState, std::uint32_t) {}});
-    for (std::size_t round = 0; round < Mutations::rounds(3000); ++round) {
-        const auto decoded = Platform::decodeCheckIn(mutations.of(validCheckIn), "i-1");
+    for (std::size_t round = 0; round < InputMutator::scaledRounds(3000); ++round) {
+        const auto decoded = Platform::decodeCheckIn(mutator.mutate(validCheckIn), "i-1");
         if (!decoded)
             continue;
         const UpstreamAnnouncement &announcement = decoded.value().announcement;
@@ -73,16 +73,16 @@
 
 TABLE_TEST(hostileInput, storeRequests, seeds)
 {
-    Mutations mutations(row);
+    InputMutator mutator(row);
     const HttpRequest valid{"POST",
                             "/api/rows-tx?table=t&part=p&after=3&waitMs=20",
                             {},
                             R"({"precondition":[{"table":"t","part":"p","key":"k","ver":0}],)"
                             R"("setKeys":[{"table":"t","part":"p","key":"k","value":"YQ=="}],"remove":[]})"};
-    for (std::size_t round = 0; round < Mutations::rounds(3000); ++round) {
+    for (std::size_t round = 0; round < InputMutator::scaledRounds(3000); ++round) {
         HttpRequest request = valid;
-        request.body = mutations.of(valid.body);
-        request.target = mutations.of(valid.target);
+        request.body = mutator.mutate(valid.body);
+        request.target = mutator.mutate(valid.target);
         (void)Platform::decodeRowsRequest(request);
     }
 }
@@ -90,14 +90,14 @@
 // The store sends corrupt responses. Every read must complete with rows or an error.
 TABLE_TEST(hostileInput, storeResponses, seeds)
 {
-    Mutations mutations(row);
+    InputMutator mutator(row);
     boost::asio::io_context context(1);
     HttpServer server(context, {}, [&](const HttpRequest &, const std::shared_ptr<HttpExchange> &exchange) {
-        exchange->respond(makeResponse(200, "application/json", mutations.of(validRows)));
+        exchange->respond(makeResponse(200, "application/json", mutator.mutate(validRows)));
     });
     cr_assert(server.listen("127.0.0.1:0").has_value());
     Platform::RowsClient client(context, server.address());
-    const std::size_t reads = Mutations::rounds(300);
+    const std::size_t reads = InputMutator::scaledRounds(300);
     std::size_t ended = 0;
     std::function<void()> readNext = [&] {
         if (ended == reads)
--- a/Tests/Support/InputMutator.h
+++ b/Tests/Support/InputMutator.h
@@ -11,56 +11,57 @@
 
 namespace Sagecrank {
 
-class Mutations
+class InputMutator
 {
 public:
-    explicit Mutations(std::uint64_t seed)
+    explicit InputMutator(std::uint64_t seed)
         : random(seed)
     {
     }
 
     // How many rounds a test plays that wants `usual` of them.
-    static std::size_t rounds(std::size_t usual)
+    static std::size_t scaledRounds(std::size_t defaultRounds)
     {
         const char *factor = std::getenv("SAGECRANK_FUZZ_FACTOR");
-        return usual * static_cast<std::size_t>(factor == nullptr ? 1 : std::max(1, std::atoi(factor)));
+        return defaultRounds
+               * static_cast<std::size_t>(factor == nullptr ? 1 : std::max(1, std::atoi(factor)));
     }
 
-    std::string of(std::string text)
+    std::string mutate(std::string text)
     {
-        const std::size_t changes = 1 + this->below(4);
+        const std::size_t changes = 1 + this->randomBelow(4);
         for (std::size_t change = 0; change < changes; ++change)
-            this->change(text);
+            this->applyRandomChange(text);
         return text;
     }
 
 private:
-    std::size_t below(std::size_t bound) { return bound == 0 ? 0 : this->random() % bound; }
+    std::size_t randomBelow(std::size_t bound) { return bound == 0 ? 0 : this->random() % bound; }
 
-    void change(std::string &text)
+    void applyRandomChange(std::string &text)
     {
-        static constexpr std::string_view words[] = {"0",
-                                                     "-1",
-                                                     "4294967296",
-                                                     "18446744073709551616",
-                                                     "1e999",
-                                                     "null",
-                                                     "[]",
-                                                     "{}",
-                                                     "\"\"",
-                                                     "\r\n",
-                                                     "\r\n\r\n",
-                                                     "\0",
-                                                     "\xff\xfe",
-                                                     "%00",
-                                                     "chunked",
-                                                     "Content-Length: 5\r\n",
-                                                     "Transfer-Encoding: chunked\r\n",
-                                                     "ms",
-                                                     "[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[["};
-        const std::size_t at = this->below(text.size() + 1);
-        const std::size_t length = this->below(std::min<std::size_t>(text.size() - at, 40) + 1);
-        switch (this->below(7)) {
+        static constexpr std::string_view fragments[] = {"0",
+                                                         "-1",
+                                                         "4294967296",
+                                                         "18446744073709551616",
+                                                         "1e999",
+                                                         "null",
+                                                         "[]",
+                                                         "{}",
+                                                         "\"\"",
+                                                         "\r\n",
+                                                         "\r\n\r\n",
+                                                         "\0",
+                                                         "\xff\xfe",
+                                                         "%00",
+                                                         "chunked",
+                                                         "Content-Length: 5\r\n",
+                                                         "Transfer-Encoding: chunked\r\n",
+                                                         "ms",
+                                                         "[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[["};
+        const std::size_t at = this->randomBelow(text.size() + 1);
+        const std::size_t length = this->randomBelow(std::min<std::size_t>(text.size() - at, 40) + 1);
+        switch (this->randomBelow(7)) {
         case 0:
             text.resize(at);
             break;
@@ -71,10 +72,10 @@
             text.insert(at, text.substr(at, length));
             break;
         case 3:
-            text.insert(at, words[this->below(std::size(words))]);
+            text.insert(at, fragments[this->randomBelow(std::size(fragments))]);
             break;
         case 4:
-            text.insert(at, this->below(3000), static_cast<char>(this->random()));
+            text.insert(at, this->randomBelow(3000), static_cast<char>(this->random()));
             break;
         default:
             if (at < text.size())
