--- a/Utilities/Relay/ControlPort.cpp
+++ b/Utilities/Relay/ControlPort.cpp
@@ -1,3 +1,4 @@
+// Reads command lines from control connections and passes the parsed commands to the handler.
 #include "ControlPort.h"
 
 #include <boost/asio/buffer.hpp>
@@ -15,12 +16,12 @@
 
 namespace {
 
-class ControlSession : public std::enable_shared_from_this<ControlSession>
+class ControlConnection : public std::enable_shared_from_this<ControlConnection>
 {
 public:
-    ControlSession(tcp::socket socket, ControlPort::Hook hook)
+    ControlConnection(tcp::socket socket, ControlPort::CommandHandler handler)
         : socket(std::move(socket))
-        , hook(std::move(hook))
+        , handler(std::move(handler))
     {
     }
 
@@ -31,18 +32,18 @@
             this->socket, asio::dynamic_buffer(this->input, maximumLine), '\n',
             [self = this->shared_from_this()](const boost::system::error_code &error, std::size_t size) {
                 if (!error)
-                    self->answerLine(size);
+                    self->handleLine(size);
             });
     }
 
 private:
-    void answerLine(std::size_t size)
+    void handleLine(std::size_t size)
     {
         const std::string line = this->input.substr(0, size - 1);
         this->input.erase(0, size);
         const Result<RelayCommand> command = parseRelayCommand(line);
         if (command)
-            this->hook(command.value());
+            this->handler(command.value());
         this->output = command ? "ok\n" : command.error().message + "\n";
         asio::async_write(
             this->socket, asio::buffer(this->output),
@@ -53,16 +54,16 @@
     }
 
     tcp::socket socket;
-    ControlPort::Hook hook;
+    ControlPort::CommandHandler handler;
     std::string input;
     std::string output;
 };
 
 } // namespace
 
-ControlPort::ControlPort(asio::io_context &context, const tcp::endpoint &listen, Hook hook)
+ControlPort::ControlPort(asio::io_context &context, const tcp::endpoint &listen, CommandHandler handler)
     : acceptor(context, listen)
-    , hook(std::move(hook))
+    , handler(std::move(handler))
 {
     this->accept();
 }
@@ -73,7 +74,7 @@
         if (error == asio::error::operation_aborted)
             return;
         if (!error)
-            std::make_shared<ControlSession>(std::move(socket), this->hook)->read();
+            std::make_shared<ControlConnection>(std::move(socket), this->handler)->read();
         this->accept();
     });
 }
--- a/Utilities/Relay/ControlPort.h
+++ b/Utilities/Relay/ControlPort.h
@@ -1,4 +1,4 @@
-// Takes relay commands, one on a line, and answers each with "ok" or the reason why it is none.
+// Accepts relay commands over TCP, one per line, and responds to each with "ok" or an error message.
 #pragma once
 
 #include "LinkFaults.h"
@@ -13,10 +13,11 @@
 class ControlPort
 {
 public:
-    using Hook = std::function<void(const RelayCommand &)>;
+    using CommandHandler = std::function<void(const RelayCommand &)>;
 
     // Throws boost::system::system_error when it cannot listen.
-    ControlPort(boost::asio::io_context &context, const boost::asio::ip::tcp::endpoint &listen, Hook hook);
+    ControlPort(boost::asio::io_context &context, const boost::asio::ip::tcp::endpoint &listen,
+                CommandHandler handler);
 
     boost::asio::ip::tcp::endpoint localEndpoint() const { return this->acceptor.local_endpoint(); }
 
@@ -24,7 +25,7 @@
     void accept();
 
     boost::asio::ip::tcp::acceptor acceptor;
-    const Hook hook;
+    const CommandHandler handler;
 };
 
 } // namespace Sagecrank
--- a/Utilities/Relay/LinkFaults.cpp
+++ b/Utilities/Relay/LinkFaults.cpp
@@ -1,3 +1,4 @@
+// Parses relay commands and applies them to the state of the link.
 #include "LinkFaults.h"
 
 #include <optional>
@@ -37,8 +38,8 @@
     RelayCommand command;
     command.kind = *kind;
     std::string direction;
-    const bool directed = *kind == RelayCommandKind::Silence || *kind == RelayCommandKind::Delay;
-    if (directed && words >> direction) {
+    const bool takesDirection = *kind == RelayCommandKind::Silence || *kind == RelayCommandKind::Delay;
+    if (takesDirection && words >> direction) {
         command.up = direction == "up";
         command.down = direction == "down";
         if (!command.up && !command.down)
@@ -64,17 +65,17 @@
 {
     switch (command.kind) {
     case RelayCommandKind::Pass:
-        this->everythingSilent = false;
-        this->refuseNew = false;
+        this->discardAll = false;
+        this->refuseNewConnections = false;
         this->upDelay = Milliseconds(0);
         this->downDelay = Milliseconds(0);
         this->dropShare = 0;
         break;
     case RelayCommandKind::Hole:
-        this->everythingSilent = true;
+        this->discardAll = true;
         break;
     case RelayCommandKind::Refuse:
-        this->refuseNew = true;
+        this->refuseNewConnections = true;
         break;
     case RelayCommandKind::Delay:
         (command.up ? this->upDelay : this->downDelay) = command.delay;
@@ -84,11 +85,11 @@
         break;
     case RelayCommandKind::Silence:
     case RelayCommandKind::Cut:
-        break; // These concern connections that exist, which the relay itself knows.
+        break; // The relay applies these to its existing connections.
     }
 }
 
-bool LinkFaults::drawDrop()
+bool LinkFaults::shouldDropDatagram()
 {
     return std::uniform_real_distribution<double>(0, 1)(this->random) < this->dropShare;
 }
--- a/Utilities/Relay/LinkFaults.h
+++ b/Utilities/Relay/LinkFaults.h
@@ -1,4 +1,4 @@
-// What a relay does to the bytes that pass, and the line commands that change it.
+// The faults that a relay injects into its traffic, and the text commands that control them.
 #pragma once
 
 #include <LibCore/Error.h>
@@ -10,22 +10,22 @@
 
 namespace Sagecrank {
 
-enum class RelayDirection : std::uint8_t { Up, Down }; // Up is towards the address that is relayed to.
+enum class RelayDirection : std::uint8_t { Up, Down }; // Up is towards the target address.
 
-// Commands, one on a line:
-//   pass                back to normal for new connections; those that were silenced stay silent
-//   silence [up|down]   existing connections pass nothing more, in one direction or both; new ones work
-//   hole                nothing passes on any connection, new ones included, until "pass"
-//   cut                 existing connections are reset
-//   refuse              new connections are reset until "pass"
-//   delay up|down MS    what arrives from now on passes that much later
-//   drop SHARE          that share of datagrams is left out
+// Commands, one per line:
+//   pass                ends all faults, except that silenced connections stay silent
+//   silence [up|down]   discards the traffic of existing connections in one direction or both; new ones work
+//   hole                discards the traffic of all connections, including new ones, until "pass"
+//   cut                 resets existing connections
+//   refuse              resets new connections until "pass"
+//   delay up|down MS    delays the data that arrives from now on
+//   drop SHARE          drops this share of the datagrams
 enum class RelayCommandKind : std::uint8_t { Pass, Silence, Hole, Cut, Refuse, Delay, Drop };
 
 struct RelayCommand
 {
     RelayCommandKind kind = RelayCommandKind::Pass;
-    bool up = true; // Which directions it concerns.
+    bool up = true; // The affected directions.
     bool down = true;
     Milliseconds delay{0};
     double share = 0;
@@ -33,7 +33,7 @@
 
 Result<RelayCommand> parseRelayCommand(std::string_view line);
 
-// The state that every connection looks at. Used by one thread.
+// The fault state that all connections share. Not thread-safe; used by one thread.
 class LinkFaults
 {
 public:
@@ -44,19 +44,19 @@
 
     void apply(const RelayCommand &command);
 
-    bool hole() const { return this->everythingSilent; }
-    bool refusing() const { return this->refuseNew; }
+    bool blackholed() const { return this->discardAll; }
+    bool refusesNewConnections() const { return this->refuseNewConnections; }
     Milliseconds delay(RelayDirection direction) const
     {
         return direction == RelayDirection::Up ? this->upDelay : this->downDelay;
     }
-    // Draws whether the next datagram is left out.
-    bool drawDrop();
+    // Decides at random whether the next datagram is dropped.
+    bool shouldDropDatagram();
 
 private:
     std::mt19937_64 random;
-    bool everythingSilent = false;
-    bool refuseNew = false;
+    bool discardAll = false;
+    bool refuseNewConnections = false;
     Milliseconds upDelay{0};
     Milliseconds downDelay{0};
     double dropShare = 0; // From 0 to 1.
--- a/Utilities/Relay/Main.cpp
+++ b/Utilities/Relay/Main.cpp
@@ -1,5 +1,5 @@
-// sagecrank-relay: stands between two processes of a test on loopback and lets their connections go silent,
-// break, or come late, on command. It is a tool of the proof; nothing in the product uses it.
+// sagecrank-relay: forwards traffic between two processes of a test over loopback and, on command, silences,
+// resets, delays or drops it. Only tests use it.
 // Exit codes: 0 ended by SIGTERM or SIGINT, 1 cannot listen, 2 wrong usage.
 #include "ControlPort.h"
 #include "TcpRelay.h"
@@ -33,9 +33,9 @@
     std::uint64_t seed = 1;
 };
 
-// Port 0 lets the kernel choose: the line at the start then says which it is.
+// With port 0 the kernel chooses the port, which is printed at the start.
 template <typename Endpoint>
-Endpoint endpointFromText(const std::string &text)
+Endpoint parseEndpoint(const std::string &text)
 {
     const std::size_t colon = text.rfind(':');
     const char *const end = text.data() + text.size();
@@ -59,21 +59,21 @@
     using asio::ip::tcp;
     using asio::ip::udp;
     if (settings.udp)
-        udpRelay = std::make_unique<UdpRelay>(context, endpointFromText<udp::endpoint>(settings.listen),
-                                              endpointFromText<udp::endpoint>(settings.to), faults);
+        udpRelay = std::make_unique<UdpRelay>(context, parseEndpoint<udp::endpoint>(settings.listen),
+                                              parseEndpoint<udp::endpoint>(settings.to), faults);
     else
-        tcpRelay = std::make_unique<TcpRelay>(context, endpointFromText<tcp::endpoint>(settings.listen),
-                                              endpointFromText<tcp::endpoint>(settings.to), faults);
+        tcpRelay = std::make_unique<TcpRelay>(context, parseEndpoint<tcp::endpoint>(settings.listen),
+                                              parseEndpoint<tcp::endpoint>(settings.to), faults);
     std::optional<ControlPort> control;
-    const auto command = [&](const RelayCommand &wanted) {
-        faults.apply(wanted);
-        if (tcpRelay && wanted.kind == RelayCommandKind::Silence)
-            tcpRelay->silenceConnections(wanted.up, wanted.down);
-        if (tcpRelay && wanted.kind == RelayCommandKind::Cut)
-            tcpRelay->cutConnections();
+    const auto applyCommand = [&](const RelayCommand &received) {
+        faults.apply(received);
+        if (tcpRelay && received.kind == RelayCommandKind::Silence)
+            tcpRelay->silenceConnections(received.up, received.down);
+        if (tcpRelay && received.kind == RelayCommandKind::Cut)
+            tcpRelay->resetConnections();
     };
     if (!settings.control.empty())
-        control.emplace(context, endpointFromText<tcp::endpoint>(settings.control), command);
+        control.emplace(context, parseEndpoint<tcp::endpoint>(settings.control), applyCommand);
     asio::signal_set signals(context, SIGINT, SIGTERM);
     signals.async_wait([&context](const boost::system::error_code &, int) { context.stop(); });
     std::cerr << "relay listens on ";
--- a/Utilities/Relay/TcpRelay.cpp
+++ b/Utilities/Relay/TcpRelay.cpp
@@ -1,3 +1,4 @@
+// Forwards the bytes of TCP connections with the delays and faults of the link.
 #include "TcpRelay.h"
 
 #include <boost/asio/buffer.hpp>
@@ -17,8 +18,8 @@
 namespace {
 
 constexpr std::size_t readBytes = 16UL * 1024;
-// What one direction may hold back for a delay; after that it reads no more until some has passed.
-constexpr std::size_t maximumHeldBytes = 4UL * 1024 * 1024;
+// Delayed bytes above which one direction stops reading until some are forwarded.
+constexpr std::size_t maximumDelayedBytes = 4UL * 1024 * 1024;
 
 void resetSocket(tcp::socket &socket)
 {
@@ -29,7 +30,8 @@
 
 } // namespace
 
-// Two directions, each of which reads, holds what it read for the delay of that moment, and writes in order.
+// Has two directions. Each of them reads, keeps the data for the delay in force at that time, and writes it
+// in order.
 class RelayedConnection : public std::enable_shared_from_this<RelayedConnection>
 {
 public:
@@ -47,7 +49,7 @@
         this->server.async_connect(target,
                                    [self = this->shared_from_this()](const boost::system::error_code &error) {
                                        if (error)
-                                           return self->cut();
+                                           return self->reset();
                                        boost::system::error_code ignored;
                                        self->client.set_option(tcp::no_delay(true), ignored);
                                        self->server.set_option(tcp::no_delay(true), ignored);
@@ -62,7 +64,7 @@
         this->down.silent = this->down.silent || silenceDown;
     }
 
-    void cut()
+    void reset()
     {
         resetSocket(this->client);
         resetSocket(this->server);
@@ -71,10 +73,10 @@
     }
 
 private:
-    struct HeldChunk
+    struct DelayedChunk
     {
-        Instant due;
-        std::string bytes; // Empty for the end of the stream.
+        Instant dueTime;
+        std::string bytes; // Empty at the end of the stream.
     };
 
     struct Flow
@@ -92,9 +94,9 @@
         tcp::socket &to;
         asio::steady_timer timer;
         std::array<char, readBytes> buffer{};
-        std::deque<HeldChunk> held;
-        std::size_t heldBytes = 0;
-        bool silent = false; // For good: a connection that something between the ends has lost track of.
+        std::deque<DelayedChunk> delayed;
+        std::size_t delayedBytes = 0;
+        bool silent = false; // Permanent, as when a firewall or NAT has lost the state of a connection.
         bool writing = false;
         bool reading = false;
         bool ended = false;
@@ -102,7 +104,7 @@
 
     void read(Flow &flow)
     {
-        if (flow.reading || flow.ended || flow.heldBytes > maximumHeldBytes)
+        if (flow.reading || flow.ended || flow.delayedBytes > maximumDelayedBytes)
             return;
         flow.reading = true;
         flow.from.async_read_some(asio::buffer(flow.buffer),
@@ -113,15 +115,15 @@
                                   });
     }
 
-    // A silent direction swallows what it reads, the end of the stream included, so that neither end can
-    // tell.
+    // A silent direction discards what it reads, including the end of the stream, so that neither end
+    // notices.
     void received(Flow &flow, const boost::system::error_code &error, std::size_t size)
     {
         flow.ended = bool(error);
-        if (!flow.silent && !this->faults.hole()) {
-            const Instant due = SteadyClock::now() + this->faults.delay(flow.direction);
-            flow.held.push_back({due, std::string(flow.buffer.data(), error ? 0 : size)});
-            flow.heldBytes += size;
+        if (!flow.silent && !this->faults.blackholed()) {
+            const Instant dueTime = SteadyClock::now() + this->faults.delay(flow.direction);
+            flow.delayed.push_back({dueTime, std::string(flow.buffer.data(), error ? 0 : size)});
+            flow.delayedBytes += size;
             this->write(flow);
         }
         this->read(flow);
@@ -129,10 +131,10 @@
 
     void write(Flow &flow)
     {
-        if (flow.writing || flow.held.empty())
+        if (flow.writing || flow.delayed.empty())
             return;
         flow.writing = true;
-        flow.timer.expires_at(flow.held.front().due);
+        flow.timer.expires_at(flow.delayed.front().dueTime);
         flow.timer.async_wait(
             [self = this->shared_from_this(), &flow](const boost::system::error_code &error) {
                 if (!error)
@@ -142,25 +144,25 @@
 
     void writeFront(Flow &flow)
     {
-        if (flow.silent || this->faults.hole()) {
-            flow.held.clear();
-            flow.heldBytes = 0;
+        if (flow.silent || this->faults.blackholed()) {
+            flow.delayed.clear();
+            flow.delayedBytes = 0;
             flow.writing = false;
             return;
         }
-        if (flow.held.front().bytes.empty()) {
+        if (flow.delayed.front().bytes.empty()) {
             boost::system::error_code ignored;
             flow.to.shutdown(tcp::socket::shutdown_send, ignored);
             return;
         }
-        asio::async_write(flow.to, asio::buffer(flow.held.front().bytes),
+        asio::async_write(flow.to, asio::buffer(flow.delayed.front().bytes),
                           [self = this->shared_from_this(), &flow](const boost::system::error_code &error,
                                                                    std::size_t size) {
                               flow.writing = false;
                               if (error)
-                                  return self->cut();
-                              flow.heldBytes -= size;
-                              flow.held.pop_front();
+                                  return self->reset();
+                              flow.delayedBytes -= size;
+                              flow.delayed.pop_front();
                               self->write(flow);
                               self->read(flow);
                           });
@@ -191,11 +193,11 @@
     }
 }
 
-void TcpRelay::cutConnections()
+void TcpRelay::resetConnections()
 {
     for (const auto &weak : this->connections) {
         if (const auto connection = weak.lock())
-            connection->cut();
+            connection->reset();
     }
 }
 
@@ -204,10 +206,10 @@
     this->acceptor.async_accept([this](const boost::system::error_code &error, tcp::socket client) {
         if (error == asio::error::operation_aborted)
             return;
-        if (!error && this->faults.refusing()) {
+        if (!error && this->faults.refusesNewConnections()) {
             resetSocket(client);
         } else if (!error) {
-            this->forgetEnded();
+            this->removeClosed();
             const auto connection =
                 std::make_shared<RelayedConnection>(this->context, std::move(client), this->faults);
             this->connections.push_back(connection);
@@ -217,7 +219,7 @@
     });
 }
 
-void TcpRelay::forgetEnded()
+void TcpRelay::removeClosed()
 {
     std::erase_if(this->connections, [](const auto &weak) { return weak.expired(); });
 }
--- a/Utilities/Relay/TcpRelay.h
+++ b/Utilities/Relay/TcpRelay.h
@@ -1,4 +1,4 @@
-// Passes TCP connections on to another address and disturbs them on command.
+// Forwards TCP connections to another address and injects faults into them on command.
 #pragma once
 
 #include "LinkFaults.h"
@@ -23,11 +23,11 @@
     boost::asio::ip::tcp::endpoint localEndpoint() const { return this->acceptor.local_endpoint(); }
 
     void silenceConnections(bool up, bool down);
-    void cutConnections();
+    void resetConnections();
 
 private:
     void accept();
-    void forgetEnded();
+    void removeClosed();
 
     boost::asio::io_context &context;
     boost::asio::ip::tcp::acceptor acceptor;
--- a/Utilities/Relay/UdpRelay.cpp
+++ b/Utilities/Relay/UdpRelay.cpp
@@ -1,3 +1,4 @@
+// Forwards datagrams with the delays and losses of the link.
 #include "UdpRelay.h"
 
 #include <boost/asio/buffer.hpp>
@@ -38,9 +39,9 @@
                                                 peer = std::make_shared<Peer>(this->context, this->from);
                                                 this->receiveFromTarget(peer);
                                             }
-                                            this->pass(RelayDirection::Up,
-                                                       std::string(this->buffer.data(), size), peer->socket,
-                                                       this->target);
+                                            this->forward(RelayDirection::Up,
+                                                          std::string(this->buffer.data(), size),
+                                                          peer->socket, this->target);
                                         }
                                         this->receiveFromSenders();
                                     });
@@ -53,24 +54,24 @@
                                         if (error == asio::error::operation_aborted)
                                             return;
                                         if (!error)
-                                            this->pass(RelayDirection::Down,
-                                                       std::string(peer->buffer.data(), size), this->socket,
-                                                       peer->sender);
+                                            this->forward(RelayDirection::Down,
+                                                          std::string(peer->buffer.data(), size),
+                                                          this->socket, peer->sender);
                                         this->receiveFromTarget(peer);
                                     });
 }
 
-void UdpRelay::pass(RelayDirection direction, std::string datagram, udp::socket &through,
-                    const udp::endpoint &to)
+void UdpRelay::forward(RelayDirection direction, std::string datagram, udp::socket &outgoing,
+                       const udp::endpoint &to)
 {
-    if (this->faults.hole() || this->faults.drawDrop())
+    if (this->faults.blackholed() || this->faults.shouldDropDatagram())
         return;
     auto timer = std::make_shared<asio::steady_timer>(this->context, this->faults.delay(direction));
     timer->async_wait(
-        [timer, datagram = std::move(datagram), &through, to](const boost::system::error_code &error) {
+        [timer, datagram = std::move(datagram), &outgoing, to](const boost::system::error_code &error) {
             boost::system::error_code ignored;
             if (!error)
-                through.send_to(asio::buffer(datagram), to, 0, ignored);
+                outgoing.send_to(asio::buffer(datagram), to, 0, ignored);
         });
 }
 
--- a/Utilities/Relay/UdpRelay.h
+++ b/Utilities/Relay/UdpRelay.h
@@ -1,4 +1,5 @@
-// Passes datagrams on to another address and answers back, dropping and delaying them by seed.
+// Forwards datagrams to another address and the responses back. Drops them at random from a seed, and delays
+// them.
 #pragma once
 
 #include "LinkFaults.h"
@@ -26,7 +27,7 @@
 private:
     static constexpr std::size_t maximumDatagram = 65536;
 
-    // The socket that stands for one sender towards the target, so that answers find their way back.
+    // The socket that forwards the datagrams of one sender, so that responses can be returned to that sender.
     struct Peer
     {
         Peer(boost::asio::io_context &context, boost::asio::ip::udp::endpoint sender);
@@ -39,8 +40,8 @@
 
     void receiveFromSenders();
     void receiveFromTarget(const std::shared_ptr<Peer> &peer);
-    void pass(RelayDirection direction, std::string datagram, boost::asio::ip::udp::socket &through,
-              const boost::asio::ip::udp::endpoint &to);
+    void forward(RelayDirection direction, std::string datagram, boost::asio::ip::udp::socket &outgoing,
+                 const boost::asio::ip::udp::endpoint &to);
 
     boost::asio::io_context &context;
     boost::asio::ip::udp::socket socket;
