--- a/Tests/Support/InputMutator.h
+++ b/Tests/Support/InputMutator.h
@@ -1,5 +1,6 @@
-// Damaged and hostile variants of good input, the same for a seed on every machine. In CI each test plays a
-// few thousand; SAGECRANK_FUZZ_FACTOR multiplies that for runs by hand.
+// Generates damaged and hostile variants of valid input. The same seed gives the same variants on every
+// machine. Tests try up to a few thousand variants in CI; SAGECRANK_FUZZ_FACTOR multiplies that in manual
+// runs.
 #pragma once
 
 #include <algorithm>
@@ -19,7 +20,7 @@
     {
     }
 
-    // How many rounds a test plays that wants `usual` of them.
+    // Returns `defaultRounds` multiplied by SAGECRANK_FUZZ_FACTOR.
     static std::size_t scaledRounds(std::size_t defaultRounds)
     {
         const char *factor = std::getenv("SAGECRANK_FUZZ_FACTOR");
--- a/Tests/Support/TableTest.h
+++ b/Tests/Support/TableTest.h
@@ -1,5 +1,5 @@
-// Parameterised tests over a table of rows. Criterion runs each row in a process of its own whose addresses
-// differ, so a row may not travel by value when it holds pointers; only its index does.
+// Parameterised tests over a table of rows. Criterion runs each row in a separate process with different
+// addresses, so rows that hold pointers cannot be passed by value; only the row's index is passed.
 #pragma once
 
 #include <criterion/criterion.h>
@@ -9,8 +9,7 @@
 #include <iterator>
 #include <numeric>
 
-// TABLE_TEST(suite, name, rows) { ... uses `row` ... } runs its body once for each element of the array
-// `rows`.
+// TABLE_TEST(suite, test, rows) { ... } runs its body once for each element of the array `rows`, as `row`.
 #define TABLE_TEST(suite, test, rows)                                                                        \
     static void suite##test##Row(const std::remove_cvref_t<decltype((rows)[0])> &row);                       \
     ParameterizedTestParameters(suite, test)                                                                 \
