--- a/Services/Node/Callers/ForwardedCall.cpp
+++ b/Services/Node/Callers/ForwardedCall.cpp
@@ -206,7 +206,7 @@
     };
     if (target.sameHost) {
         const auto call =
-            this->context.gate.submit(this->worker.gateHome(), std::move(attempt), std::move(ended));
+            this->context.gate.submit(this->worker.requestThread(), std::move(attempt), std::move(ended));
         this->attempts[index].local = call;
         return;
     }
--- a/Services/Node/Callers/Worker.h
+++ b/Services/Node/Callers/Worker.h
@@ -61,7 +61,7 @@
     bool allResponsesSent() const; // No accepted call has an unsent response.
 
     boost::asio::io_context &ioContext() { return this->context; }
-    RequestThread gateHome() { return {this->context, this->client}; }
+    RequestThread requestThread() { return {this->context, this->client}; }
 
     // Drops links to nodes that no call has used since `before`.
     void forgetUnused(Instant before);
--- a/Services/Node/Control/ControlIntroducers.h
+++ b/Services/Node/Control/ControlIntroducers.h
@@ -3,7 +3,7 @@
 // thread only.
 //
 // A start costs one read of a few rows for each zone; their number does not grow with the fleet. A node
-// writes its row at most once in half of `introducerRenewal`.
+// writes its row at most once in half of `introducerRenewalInterval`.
 #pragma once
 
 #include <LibCore/Time.h>
