--- a/Libraries/LibMembership/Datagram.cpp
+++ b/Libraries/LibMembership/Datagram.cpp
@@ -48,12 +48,12 @@
     value = static_cast<Enum>(raw);
 }
 
-template <typename Archive, typename Brief>
-void transferBrief(Archive &archive, Brief &brief)
+template <typename Archive, typename Update>
+void transferUpdate(Archive &archive, Update &update)
 {
-    archive(brief.idHash, brief.incarnation, brief.fixedHash, brief.slots);
-    transferEnum(archive, brief.state, MemberState::Left);
-    transferEnum(archive, brief.upstream, UpstreamState::Gone);
+    archive(update.idHash, update.incarnation, update.staticFieldsHash, update.slots);
+    transferEnum(archive, update.state, MemberState::Left);
+    transferEnum(archive, update.upstream, UpstreamState::Gone);
 }
 
 template <typename Archive, typename Entry>
@@ -66,7 +66,7 @@
 template <typename Archive, typename AnyNotice>
 void transferNotice(Archive &archive, AnyNotice &notice)
 {
-    archive(notice.subject, notice.source, notice.state, notice.lifeSeconds);
+    archive(notice.subject, notice.source, notice.state, notice.timeToLiveSeconds);
 }
 
 std::string_view hostOf(std::string_view address)
@@ -109,7 +109,7 @@
     transferText(archive, member.gossipAddress);
     transferAddress(archive, member.peerAddress, member.gossipAddress);
     transferAddress(archive, member.controlAddress, member.gossipAddress);
-    archive(member.linkMegabits);
+    archive(member.linkMbps);
     transferText(archive, member.cluster);
 }
 
@@ -147,7 +147,7 @@
     transferList(archive, datagram.buckets, plain);
     transferList(archive, datagram.entries, [](auto &any, auto &entry) { transferEntry(any, entry); });
     transferList(archive, datagram.wanted, plain);
-    transferList(archive, datagram.briefs, [](auto &any, auto &brief) { transferBrief(any, brief); });
+    transferList(archive, datagram.updates, [](auto &any, auto &update) { transferUpdate(any, update); });
     transferList(archive, datagram.members, [](auto &any, auto &member) { transferMember(any, member); });
     transferList(archive, datagram.notices, [](auto &any, auto &notice) { transferNotice(any, notice); });
 }
--- a/Libraries/LibMembership/Datagram.h
+++ b/Libraries/LibMembership/Datagram.h
@@ -43,27 +43,27 @@
 }};
 
 // Names one accepted configuration version.
-struct ConfigurationMark
+struct ConfigurationVersion
 {
     std::uint64_t version = 0; // Zero is no version.
     std::uint64_t digestHigh = 0;
     std::uint64_t digestLow = 0;
 
-    bool operator==(const ConfigurationMark &) const = default;
+    bool operator==(const ConfigurationVersion &) const = default;
 };
 
 // A change to a member that the receiver probably knows. A third of a whole record's size; a receiver that
 // does not know the member, or knows it with other fixed facts, asks for the record.
-struct MemberBrief
+struct MemberUpdate
 {
     std::uint64_t idHash = 0;
     std::uint64_t incarnation = 0;
-    std::uint32_t fixedHash = 0; // Of region, zone, site, addresses and cluster.
+    std::uint32_t staticFieldsHash = 0; // Of region, zone, site, addresses and cluster.
     MemberState state = MemberState::Alive;
     UpstreamState upstream = UpstreamState::None;
     std::uint16_t slots = 0;
 
-    bool operator==(const MemberBrief &) const = default;
+    bool operator==(const MemberUpdate &) const = default;
 };
 
 struct SyncEntry
@@ -82,7 +82,7 @@
     std::uint64_t subject = 0;
     std::uint64_t source = 0;
     std::uint8_t state = 0;
-    std::uint16_t lifeSeconds = 0; // Until it may be forgotten.
+    std::uint16_t timeToLiveSeconds = 0; // Until it may be forgotten.
 
     bool operator==(const Notice &) const = default;
 };
@@ -95,7 +95,7 @@
     std::string sender;         // Id.
     std::uint64_t senderIncarnation = 0;
     std::uint64_t heldVersion = 0; // The configuration version that the sender holds.
-    ConfigurationMark head;        // The highest accepted version that the sender has heard of.
+    ConfigurationVersion head;     // The highest accepted version that the sender has heard of.
     std::uint64_t storeEra = 0;    // The highest that the sender knows of; zero: none. See StoreEra.
     std::string target;            // Id; only in a ping (who is meant) and a ping request.
     std::string targetAddress;     // Only in a ping request.
@@ -103,7 +103,7 @@
     std::vector<std::uint8_t> buckets; // Which buckets `entries` covers whole.
     std::vector<SyncEntry> entries;
     std::vector<std::uint64_t> wanted; // Hashes of ids.
-    std::vector<MemberBrief> briefs;
+    std::vector<MemberUpdate> updates;
     std::vector<Member> members;
     std::vector<Notice> notices;
 };
@@ -112,7 +112,7 @@
 
 // The bytes that a record takes in a datagram.
 std::size_t encodedSize(const Member &member);
-inline constexpr std::size_t encodedBriefSize = 24;
+inline constexpr std::size_t encodedUpdateSize = 24;
 inline constexpr std::size_t encodedEntrySize = 17;
 inline constexpr std::size_t encodedNoticeSize = 19;
 
--- a/Libraries/LibMembership/Dissemination.cpp
+++ b/Libraries/LibMembership/Dissemination.cpp
@@ -43,7 +43,7 @@
     candidates.reserve(this->changes.size());
     for (auto &[idHash, change] : this->changes)
         candidates.push_back({idHash, &change});
-    const std::size_t most = std::min(candidates.size(), room / encodedBriefSize + 1);
+    const std::size_t most = std::min(candidates.size(), room / encodedUpdateSize + 1);
     std::partial_sort(candidates.begin(), candidates.begin() + static_cast<std::ptrdiff_t>(most),
                       candidates.end(), [](const Candidate &a, const Candidate &b) {
                           return std::tuple(!a.change->urgent, a.change->told, a.idHash)
@@ -58,14 +58,14 @@
             this->changes.erase(idHash);
             continue;
         }
-        const std::size_t size = change->whole ? encodedSize(record->member) : encodedBriefSize;
-        if (used + size > room || datagram.briefs.size() + datagram.members.size() >= maximumListed)
+        const std::size_t size = change->whole ? encodedSize(record->member) : encodedUpdateSize;
+        if (used + size > room || datagram.updates.size() + datagram.members.size() >= maximumListed)
             continue;
         used += size;
         if (change->whole)
             datagram.members.push_back(record->member);
         else
-            datagram.briefs.push_back(MemberTable::briefOf(*record));
+            datagram.updates.push_back(MemberTable::makeUpdate(*record));
         const bool crowded = change->whole && this->changes.size() > backlogSize;
         if (++change->told >= (crowded ? backlogWholeTellLimit : limit))
             this->changes.erase(idHash);
--- a/Libraries/LibMembership/IntroducerRounds.cpp
+++ b/Libraries/LibMembership/IntroducerRounds.cpp
@@ -21,31 +21,31 @@
 // Each node of a fleet that starts takes itself for the first of its zone. Writing a row and greeting other
 // zones wait until the rows have been read, or a start would cost as many writes and greetings as there are
 // nodes.
-IntroducerRound IntroducerRounds::next(bool knowsOthers, std::uint32_t rank)
+IntroducerRound IntroducerSchedule::next(bool knowsOthers, std::uint32_t rank)
 {
     ++this->begun;
     const bool first = rank == 0;
     IntroducerRound round;
     round.read = first || !knowsOthers;
-    round.greetOtherZones = this->begun > 1 && round.read;
+    round.contactOtherZones = this->begun > 1 && round.read;
     round.write = this->writeOf(knowsOthers, rank);
-    const bool settled = knowsOthers && (!first || this->backoff >= introducerRenewal);
+    const bool settled = knowsOthers && (!first || this->backoff >= introducerRenewalInterval);
     if (settled) {
-        round.pause = introducerRenewal;
+        round.pause = introducerRenewalInterval;
         return round;
     }
     round.pause = this->backoff;
     // Zones that start together may miss each other's rows, so the first of each looks more often at first.
-    const Duration longest = knowsOthers ? introducerRenewal : this->pace.longestLonelyBackoff;
+    const Duration longest = knowsOthers ? introducerRenewalInterval : this->pace.maximumIsolatedBackoff;
     this->backoff = std::min(this->backoff * 2, longest);
     return round;
 }
 
-IntroducerWrite IntroducerRounds::writeOf(bool knowsOthers, std::uint32_t rank) const
+IntroducerWrite IntroducerSchedule::writeOf(bool knowsOthers, std::uint32_t rank) const
 {
     if (!knowsOthers)
-        return this->begun <= roundsBesideRows ? IntroducerWrite::FreePlace : IntroducerWrite::AnyPlace;
-    return rank < introducersPerZone ? IntroducerWrite::RankedPlace : IntroducerWrite::None;
+        return this->begun <= roundsBesideRows ? IntroducerWrite::FreeRow : IntroducerWrite::AnyRow;
+    return rank < introducersPerZone ? IntroducerWrite::RankedRow : IntroducerWrite::None;
 }
 
 } // namespace Sagecrank
--- a/Libraries/LibMembership/IntroducerRounds.h
+++ b/Libraries/LibMembership/IntroducerRounds.h
@@ -8,28 +8,28 @@
 
 namespace Sagecrank {
 
-struct IntroducerPace
+struct IntroducerTiming
 {
     // Seeds are given this long to answer before the table is asked. Zero where there are no seeds.
-    Duration firstRound = Milliseconds(1500);
+    Duration initialDelay = Milliseconds(1500);
     // Between the rounds of a node that knows nobody; doubles up to the longest.
-    Duration lonelyBackoff = Milliseconds(3000);
-    Duration longestLonelyBackoff = Milliseconds(30000);
+    Duration isolatedBackoff = Milliseconds(3000);
+    Duration maximumIsolatedBackoff = Milliseconds(30000);
 };
 
 // Where a node writes its own row, if it does. Rows of a zone stand in as many places as it may have.
 enum class IntroducerWrite : std::uint8_t {
     None,
-    RankedPlace, // The one of its rank, at once.
-    FreePlace,   // After the read of the round, if one is free.
-    AnyPlace,    // The same, and else in place of another row.
+    RankedRow, // The one of its rank, at once.
+    FreeRow,   // After the read of the round, if one is free.
+    AnyRow,    // The same, and else in place of another row.
 };
 
 // What one round does.
 struct IntroducerRound
 {
     bool read = false;
-    bool greetOtherZones = false; // Beside those of its own zone.
+    bool contactOtherZones = false; // Beside those of its own zone.
     IntroducerWrite write = IntroducerWrite::None;
     Duration pause{}; // Until the next round.
 };
@@ -37,14 +37,14 @@
 inline constexpr std::uint32_t introducersPerZone = 3;
 
 // How long a settled zone waits from round to round.
-inline constexpr Duration introducerRenewal = std::chrono::seconds(60);
+inline constexpr Duration introducerRenewalInterval = std::chrono::seconds(60);
 
-class IntroducerRounds
+class IntroducerSchedule
 {
 public:
-    explicit IntroducerRounds(IntroducerPace pace)
+    explicit IntroducerSchedule(IntroducerTiming pace)
         : pace(pace)
-        , backoff(pace.lonelyBackoff)
+        , backoff(pace.isolatedBackoff)
     {
     }
 
@@ -54,7 +54,7 @@
 private:
     IntroducerWrite writeOf(bool knowsOthers, std::uint32_t rank) const;
 
-    IntroducerPace pace;
+    IntroducerTiming pace;
     Duration backoff; // Of the next round but one, unless the zone has settled.
     std::uint32_t begun = 0;
 };
--- a/Libraries/LibMembership/Member.h
+++ b/Libraries/LibMembership/Member.h
@@ -51,11 +51,11 @@
     std::string region;
     std::string zone;
     std::string site; // Which overlay's configuration it holds; only peers of one site can serve each other.
-    std::string gossipAddress;      // UDP, membership.
-    std::string peerAddress;        // TCP, calls between nodes.
-    std::string controlAddress;     // TCP, configuration pulls.
-    std::uint32_t linkMegabits = 0; // A second, of its host's own link; 0: not told.
-    std::string cluster;            // The service of the upstream beside it; empty when there is none.
+    std::string gossipAddress;  // UDP, membership.
+    std::string peerAddress;    // TCP, calls between nodes.
+    std::string controlAddress; // TCP, configuration pulls.
+    std::uint32_t linkMbps = 0; // A second, of its host's own link; 0: not told.
+    std::string cluster;        // The service of the upstream beside it; empty when there is none.
     UpstreamState upstream = UpstreamState::None;
     std::uint32_t slots = 0;
     std::uint64_t configurationVersion = 0; // The version that the node holds.
--- a/Libraries/LibMembership/MemberTable.cpp
+++ b/Libraries/LibMembership/MemberTable.cpp
@@ -35,13 +35,13 @@
     return XXH3_64bits(id.data(), id.size());
 }
 
-std::uint32_t hashFixedFacts(const Member &member)
+std::uint32_t hashStaticFields(const Member &member)
 {
     std::string text;
     for (const std::string *part : {&member.region, &member.zone, &member.site, &member.gossipAddress,
                                     &member.peerAddress, &member.controlAddress, &member.cluster})
         appendText(text, *part);
-    appendText(text, std::to_string(member.linkMegabits));
+    appendText(text, std::to_string(member.linkMbps));
     return static_cast<std::uint32_t>(XXH3_64bits(text.data(), text.size()));
 }
 
@@ -66,7 +66,7 @@
     member.incarnation = incarnation;
     this->setState(record, softened ? MemberState::Suspect : state, now);
     this->reindex(record, true);
-    return softened ? MergeOutcome::Softened : MergeOutcome::Changed;
+    return softened ? MergeOutcome::DowngradedToSuspect : MergeOutcome::Changed;
 }
 
 MergeOutcome MemberTable::merge(const Member &member, Instant now)
@@ -77,7 +77,7 @@
         // A grave of a member that was never known says nothing that anyone here needs.
         if (!isPresent(member.state))
             return MergeOutcome::Ignored;
-        MemberRecord record{member, idHash, hashFixedFacts(member), now, {}};
+        MemberRecord record{member, idHash, hashStaticFields(member), now, {}};
         record.member.state = MemberState::Alive;
         record.member.configurationVersion = 0;
         MemberRecord &stored = this->records.emplace(idHash, std::move(record)).first->second;
@@ -96,20 +96,20 @@
         record.member = member;
         record.member.state = old.state;
         record.member.configurationVersion = old.configurationVersion;
-        record.fixedHash = hashFixedFacts(member);
+        record.staticFieldsHash = hashStaticFields(member);
         this->peersStale = true;
     }
     return outcome;
 }
 
-MergeOutcome MemberTable::merge(const MemberBrief &brief, Instant now)
+MergeOutcome MemberTable::merge(const MemberUpdate &brief, Instant now)
 {
     const auto found = this->records.find(brief.idHash);
     if (found == this->records.end())
         return isPresent(brief.state) ? MergeOutcome::Unknown : MergeOutcome::Ignored;
     MemberRecord &record = found->second;
     const std::uint64_t before = record.member.incarnation;
-    if (brief.incarnation > before && brief.fixedHash != record.fixedHash)
+    if (brief.incarnation > before && brief.staticFieldsHash != record.staticFieldsHash)
         return MergeOutcome::Unknown;
     const MergeOutcome outcome = this->apply(record, brief.incarnation, brief.state, now);
     if (outcome != MergeOutcome::Ignored && brief.incarnation > before) {
@@ -132,14 +132,14 @@
     const MemberState state = member.state;
     record.member = member;
     record.member.state = MemberState::Alive;
-    record.fixedHash = hashFixedFacts(member);
-    record.changed = now;
+    record.staticFieldsHash = hashStaticFields(member);
+    record.stateChangedAt = now;
     this->setState(record, state, now);
     this->reindex(record, true);
     this->peersStale = true;
 }
 
-void MemberTable::noteHeldVersion(std::uint64_t idHash, std::uint64_t version)
+void MemberTable::setHeldVersion(std::uint64_t idHash, std::uint64_t version)
 {
     const auto found = this->records.find(idHash);
     if (found != this->records.end())
@@ -153,12 +153,12 @@
         found->second.suspectDeadline = deadline;
 }
 
-std::size_t MemberTable::forget(Instant changedBefore)
+std::size_t MemberTable::removeTombstones(Instant changedBefore)
 {
     std::size_t forgotten = 0;
     for (auto entry = this->records.begin(); entry != this->records.end();) {
         const MemberRecord &record = entry->second;
-        if (isPresent(record.member.state) || record.changed >= changedBefore) {
+        if (isPresent(record.member.state) || record.stateChangedAt >= changedBefore) {
             ++entry;
             continue;
         }
@@ -197,7 +197,7 @@
     return this->zoneList;
 }
 
-const std::vector<std::uint64_t> &MemberTable::otherPeers() const
+const std::vector<std::uint64_t> &MemberTable::otherZonePeers() const
 {
     this->rebuildPeers();
     return this->otherList;
@@ -217,11 +217,11 @@
     return list;
 }
 
-MemberBrief MemberTable::briefOf(const MemberRecord &record)
+MemberUpdate MemberTable::makeUpdate(const MemberRecord &record)
 {
     const Member &member = record.member;
     const auto slots = static_cast<std::uint16_t>(std::min<std::uint32_t>(member.slots, 0xFFFF));
-    return {record.idHash, member.incarnation, record.fixedHash, member.state, member.upstream, slots};
+    return {record.idHash, member.incarnation, record.staticFieldsHash, member.state, member.upstream, slots};
 }
 
 void MemberTable::reindex(const MemberRecord &record, bool adding)
@@ -238,7 +238,7 @@
     if (before == state)
         return;
     record.member.state = state;
-    record.changed = now;
+    record.stateChangedAt = now;
     if (before == MemberState::Suspect)
         std::erase(this->suspectHashes, record.idHash);
     if (state == MemberState::Suspect)
--- a/Libraries/LibMembership/MemberTable.h
+++ b/Libraries/LibMembership/MemberTable.h
@@ -15,7 +15,7 @@
 namespace Sagecrank {
 
 std::uint64_t hashId(std::string_view id);
-std::uint32_t hashFixedFacts(const Member &member);
+std::uint32_t hashStaticFields(const Member &member);
 
 // Present: counted as a part of the mesh. A suspect still is, for it may refute.
 inline bool isPresent(MemberState state)
@@ -27,16 +27,16 @@
 {
     Member member;
     std::uint64_t idHash = 0;
-    std::uint32_t fixedHash = 0;
-    Instant changed{};         // When the state last changed here.
+    std::uint32_t staticFieldsHash = 0;
+    Instant stateChangedAt{};  // When the state last changed here.
     Instant suspectDeadline{}; // Only of use while suspect.
 };
 
 enum class MergeOutcome : std::uint8_t {
-    Ignored,  // Older than what is held, or equal to it.
-    Changed,  // Taken over.
-    Unknown,  // A brief about a member that is not known, or whose fixed facts differ.
-    Softened, // A claim of death about a member held alive; taken as a suspicion.
+    Ignored,             // Older than what is held, or equal to it.
+    Changed,             // Taken over.
+    Unknown,             // A brief about a member that is not known, or whose fixed facts differ.
+    DowngradedToSuspect, // A claim of death about a member held alive; taken as a suspicion.
 };
 
 // 192 hashes (768 bytes) fit one datagram, and so do a bucket's entries (about 34 at 6,500 members, 578
@@ -51,11 +51,11 @@
 
     // Commands.
     MergeOutcome merge(const Member &member, Instant now);
-    MergeOutcome merge(const MemberBrief &brief, Instant now);
+    MergeOutcome merge(const MemberUpdate &brief, Instant now);
     void replaceOwn(const Member &member, Instant now);
-    void noteHeldVersion(std::uint64_t idHash, std::uint64_t version);
+    void setHeldVersion(std::uint64_t idHash, std::uint64_t version);
     void setSuspectDeadline(std::uint64_t idHash, Instant deadline);
-    std::size_t forget(Instant changedBefore);
+    std::size_t removeTombstones(Instant changedBefore);
 
     // Queries.
     const MemberRecord *find(std::uint64_t idHash) const;
@@ -68,13 +68,13 @@
 
     // Present members by distance, without the node itself.
     const std::vector<std::uint64_t> &zonePeers() const;
-    const std::vector<std::uint64_t> &otherPeers() const;
+    const std::vector<std::uint64_t> &otherZonePeers() const;
     const std::vector<std::uint64_t> &deadMembers() const;
 
     const BucketHashes &bucketHashes() const { return this->hashes; }
     std::vector<const MemberRecord *> bucket(std::uint8_t index) const;
 
-    static MemberBrief briefOf(const MemberRecord &record);
+    static MemberUpdate makeUpdate(const MemberRecord &record);
 
 private:
     MergeOutcome apply(MemberRecord &record, std::uint64_t incarnation, MemberState state, Instant now);
--- a/Libraries/LibMembership/Membership.cpp
+++ b/Libraries/LibMembership/Membership.cpp
@@ -52,9 +52,10 @@
     , hooks(std::move(hooks))
     , random(seed)
     , table(this->own.zone)
-    , budget(this->settings.bytesPerSecond, this->settings.burstBytes, this->settings.firstViewBytes)
-    , acrossBudget(this->settings.acrossBytesPerSecond, this->settings.acrossBurstBytes)
-    , inbound(this->settings.catchUpBytesPerSecond, this->settings.burstBytes, this->settings.firstViewBytes)
+    , budget(this->settings.bytesPerSecond, this->settings.burstBytes, this->settings.initialBurstBytes)
+    , acrossBudget(this->settings.crossZoneBytesPerSecond, this->settings.crossZoneBurstBytes)
+    , inbound(this->settings.catchUpBytesPerSecond, this->settings.burstBytes,
+              this->settings.initialBurstBytes)
     , joinBackoff(firstJoinBackoff)
 {
     this->own.state = MemberState::Alive;
@@ -100,7 +101,8 @@
         this->noticesChanged();
     if (now >= this->nextForget) {
         this->nextForget = now + std::chrono::minutes(1);
-        this->counts.forgotten += this->table.forget(now - this->settings.forgetAfter);
+        this->counts.removedTombstones +=
+            this->table.removeTombstones(now - this->settings.tombstoneRetention);
         std::erase_if(this->requested,
                       [&](const auto &entry) { return now - entry.second > requestAgainAfter; });
     }
@@ -185,15 +187,15 @@
         return;
     }
     const std::uint64_t heldBefore = record->member.configurationVersion;
-    this->table.noteHeldVersion(senderHash, datagram.heldVersion);
-    if (datagram.heldVersion > heldBefore && this->hooks.heldRaised)
-        this->hooks.heldRaised(record->member);
+    this->table.setHeldVersion(senderHash, datagram.heldVersion);
+    if (datagram.heldVersion > heldBefore && this->hooks.heldVersionAdvanced)
+        this->hooks.heldVersionAdvanced(record->member);
     // It speaks, but it is held for suspect or dead here: tell it so, for only it can refute that.
     const bool wronged =
         record->member.state == MemberState::Suspect || record->member.state == MemberState::Dead;
     if (wronged && datagram.kind != DatagramKind::Ping) {
         Datagram notice = this->makeDatagram(DatagramKind::Gossip);
-        notice.briefs.push_back(MemberTable::briefOf(*record));
+        notice.updates.push_back(MemberTable::makeUpdate(*record));
         this->transmit(from, notice);
     }
 }
@@ -210,14 +212,14 @@
         if (this->concernsOwn(now, idHash, member.incarnation, member.state))
             continue;
         const MemberRecord *before = this->table.find(idHash);
-        const bool whole = before == nullptr || before->fixedHash != hashFixedFacts(member);
+        const bool whole = before == nullptr || before->staticFieldsHash != hashStaticFields(member);
         const MergeOutcome outcome = this->table.merge(member, now);
         this->afterMerge(now, idHash, outcome);
         if (!isOldNews)
             this->spread(idHash, outcome, whole);
     }
     std::vector<std::uint64_t> unknown;
-    for (const MemberBrief &brief : datagram.briefs) {
+    for (const MemberUpdate &brief : datagram.updates) {
         if (this->concernsOwn(now, brief.idHash, brief.incarnation, brief.state))
             continue;
         const MergeOutcome outcome = this->table.merge(brief, now);
@@ -273,14 +275,14 @@
     this->changes.add(idHash, stopsWork, whole);
 }
 
-void Membership::noteHead(const ConfigurationMark &head)
+void Membership::noteHead(const ConfigurationVersion &head)
 {
     if (head.version <= this->headMark.version)
         return;
     this->headMark = head;
     this->tellHead();
-    if (this->hooks.headRaised)
-        this->hooks.headRaised(head);
+    if (this->hooks.headAdvanced)
+        this->hooks.headAdvanced(head);
 }
 
 // Failure: the store comes back from an older copy. Symptom: only the few that ask it often learn of that,
@@ -294,8 +296,8 @@
     this->storeEra = era;
     if (this->eraRose)
         this->tellHead();
-    if (this->hooks.storeEraRaised)
-        this->hooks.storeEraRaised(era);
+    if (this->hooks.storeEraAdvanced)
+        this->hooks.storeEraAdvanced(era);
 }
 
 // Load: a version goes through a zone of 100 by some rounds of gossip and of pulls. Harm: when each waits for
@@ -360,13 +362,13 @@
     this->publishOwn(now, urgent, whole);
 }
 
-void Membership::setConfiguration(std::uint64_t held, const ConfigurationMark &head)
+void Membership::setConfiguration(std::uint64_t held, const ConfigurationVersion &head)
 {
     if (held > this->heldVersion) {
         this->heldVersion = held;
         this->tellHead();
         this->own.configurationVersion = held;
-        this->table.noteHeldVersion(this->ownHash, held);
+        this->table.setHeldVersion(this->ownHash, held);
     }
     this->noteHead(head);
 }
@@ -449,7 +451,7 @@
 {
     const std::string bytes = encodeDatagram(datagram);
     if (address.empty() || bytes.size() > maximumDatagramBytes) {
-        ++this->counts.heldBack;
+        ++this->counts.suppressed;
         return;
     }
     const std::size_t size = bytes.size() + datagramOverheadBytes;
--- a/Libraries/LibMembership/Membership.h
+++ b/Libraries/LibMembership/Membership.h
@@ -32,14 +32,14 @@
     Duration probeTimeout = Milliseconds(300);
     std::uint32_t indirectProbes = 3;
     // Every fourth period another zone's member is probed too: a lost zone has nobody left inside to notice.
-    std::uint32_t crossZoneEvery = 4;
+    std::uint32_t crossZoneProbePeriods = 4;
     // Load: every node tells other zones its news, probes there and compares tables there. Harm: bytes
     // between zones, which are the dear ones, grow with the square of the nodes: 204 KB for each node's
     // restart in a mesh of 180 in three zones. So in a zone of many only some do so, drawn anew each time;
     // these are the numbers for a zone together. A zone of few is as before.
-    double gossipersAcrossZone = 4; // Each gossip round.
-    double probersAcrossZone = 5;   // Each probe interval; two suspects call for the whole zone's probes.
-    double syncersAcrossZone = 2;   // Each round of comparisons.
+    double crossZoneGossipersPerZone = 4; // Each gossip round.
+    double crossZoneProbersPerZone = 5; // Each probe interval; two suspects call for the whole zone's probes.
+    double crossZoneSyncersPerZone = 2; // Each round of comparisons.
     // Suspicion lasts this many periods times the decimal logarithm of the members, so that a refutation has
     // the rounds it needs to travel both ways.
     double suspicionFactor = 3;
@@ -51,7 +51,7 @@
     Duration reconnectInterval = Milliseconds(5000);
     // Longer than the longest split expected (an hour), so that a split member is still known when it heals
     // and an old record from a paused node is still recognised as old.
-    Duration forgetAfter = std::chrono::hours(2);
+    Duration tombstoneRetention = std::chrono::hours(2);
     // A tick this late means that the process was paused: what it thinks of others is out of date.
     Duration pauseThreshold = Milliseconds(3000);
     // Sent bytes. Under half of a node's 13 KB a second, because as many arrive as leave.
@@ -59,10 +59,10 @@
     double burstBytes = 12000;
     // Sent bytes that a new process may spend at once, so that a fleet that starts together learns its
     // members before callers need them.
-    double firstViewBytes = 96000;
+    double initialBurstBytes = 96000;
     // Sent bytes to other zones, as a part of the above.
-    double acrossBytesPerSecond = 3000;
-    double acrossBurstBytes = 6000;
+    double crossZoneBytesPerSecond = 3000;
+    double crossZoneBurstBytes = 6000;
     // Received bytes above which a node that catches up asks for no more. What others send by themselves is
     // not held back, so the sum of both ways stays near 13 KB a second.
     double catchUpBytesPerSecond = 6000;
@@ -74,11 +74,11 @@
     std::function<void(const std::string &address, const std::string &bytes)> send;
     // A record changed: state, upstream or facts. Not called for the held version.
     std::function<void(const Member &)> memberChanged;
-    std::function<void(const ConfigurationMark &)> headRaised;
-    std::function<void(const Member &holder)> heldRaised;
+    std::function<void(const ConfigurationVersion &)> headAdvanced;
+    std::function<void(const Member &holder)> heldVersionAdvanced;
     // The notices that this node holds, after they changed.
     std::function<void(const std::vector<Notice> &)> noticesChanged;
-    std::function<void(std::uint64_t era)> storeEraRaised;
+    std::function<void(std::uint64_t era)> storeEraAdvanced;
 };
 
 struct KindCounters
@@ -93,12 +93,12 @@
 {
     std::array<KindCounters, 8> kinds{}; // By DatagramKind; bytes include the network's headers.
     std::uint64_t malformed = 0;
-    std::uint64_t heldBack = 0; // Datagrams not sent because the budget was spent.
+    std::uint64_t suppressed = 0; // Datagrams not sent because the budget was spent.
     std::uint64_t suspicions = 0;
     std::uint64_t deaths = 0;
     std::uint64_t refutations = 0;
     std::uint64_t pauses = 0;
-    std::uint64_t forgotten = 0;
+    std::uint64_t removedTombstones = 0;
 
     std::uint64_t sentBytes() const;
     std::uint64_t receivedBytes() const;
@@ -115,25 +115,25 @@
     void tick(Instant now); // Every 100 ms or so.
     void receive(Instant now, const std::string &from, std::string_view bytes);
     void setUpstream(Instant now, const std::string &cluster, UpstreamState state, std::uint32_t slots);
-    void setConfiguration(std::uint64_t heldVersion, const ConfigurationMark &head);
+    void setConfiguration(std::uint64_t heldVersion, const ConfigurationVersion &head);
     // Which life of the platform's store this node knows of; all others hear of it. A lower one is ignored.
     void noteStoreEra(std::uint64_t era);
     // Greets those that no member is known at.
     void addSeeds(Instant now, const std::vector<std::string> &addresses, bool ownZone);
     void announce(Instant now, const Notice &notice); // Every node is to hold it.
-    void leave(Instant now);                          // Says goodbye; keep ticking until saidGoodbye().
+    void leave(Instant now);                          // Says goodbye; keep ticking until leaveComplete().
 
     // Queries.
     const MemberTable &members() const { return this->table; }
     const Member &self() const { return this->own; }
-    const ConfigurationMark &head() const { return this->headMark; }
+    const ConfigurationVersion &head() const { return this->headMark; }
     std::vector<Notice> notices() const { return this->board.list(this->lastTick); }
     std::uint64_t highestStoreEra() const { return this->storeEra; }
     const MembershipCounters &counters() const { return this->counts; }
     // Which of the gossip addresses a present member stands at; the views point into `addresses`.
     std::unordered_set<std::string_view> membersAt(const std::vector<std::string> &addresses) const;
     bool hasView() const; // Somebody answered, or there is nobody to ask, or nobody answered for long.
-    bool saidGoodbye() const { return this->leaving && this->goodbyeRounds == 0; }
+    bool leaveComplete() const { return this->leaving && this->goodbyeRounds == 0; }
     std::uint32_t healthScore() const { return this->health; }
     Duration suspicionTime() const;
 
@@ -171,7 +171,7 @@
     bool concernsOwn(Instant now, std::uint64_t idHash, std::uint64_t incarnation, MemberState state);
     void afterMerge(Instant now, std::uint64_t idHash, MergeOutcome outcome);
     void spread(std::uint64_t idHash, MergeOutcome outcome, bool whole);
-    void noteHead(const ConfigurationMark &head);
+    void noteHead(const ConfigurationVersion &head);
     void takeNotices(Instant now, const std::vector<Notice> &notices);
     void noticesChanged();
     std::uint32_t newsTellLimit() const;
@@ -235,15 +235,15 @@
     std::mt19937_64 random;
     MemberTable table;
     Dissemination changes;
-    NoticeBoard board;
+    NoticeTable board;
     TokenBucket budget;       // Of sent bytes.
     TokenBucket acrossBudget; // Of bytes sent to other zones.
     TokenBucket inbound;      // Of received bytes; only comparisons that can wait look at it.
     MembershipCounters counts;
 
-    ConfigurationMark headMark; // Never goes down.
-    std::uint64_t storeEra = 0; // The same; zero: none is known.
-    bool eraRose = false;       // From one that was known.
+    ConfigurationVersion headMark; // Never goes down.
+    std::uint64_t storeEra = 0;    // The same; zero: none is known.
+    bool eraRose = false;          // From one that was known.
     std::uint64_t heldVersion = 0;
     std::uint32_t headTold = 0; // Gossip datagrams since the head, the held version or the era rose.
 
--- a/Libraries/LibMembership/MembershipProbe.cpp
+++ b/Libraries/LibMembership/MembershipProbe.cpp
@@ -32,13 +32,13 @@
 {
     ++this->probeRounds;
     const std::vector<std::uint64_t> &zonePeers = this->table.zonePeers();
-    const std::vector<std::uint64_t> &otherPeers = this->table.otherPeers();
+    const std::vector<std::uint64_t> &otherPeers = this->table.otherZonePeers();
     if (!zonePeers.empty())
         this->startProbe(now, this->nextInRing(this->zoneRing, zonePeers));
-    const double every = this->settings.crossZoneEvery;
+    const double every = this->settings.crossZoneProbePeriods;
     const bool crossing = zonePeers.empty()
-                          || (this->probeRounds % this->settings.crossZoneEvery == 0
-                              && this->isMyTurnAcross(every * this->settings.probersAcrossZone));
+                          || (this->probeRounds % this->settings.crossZoneProbePeriods == 0
+                              && this->isMyTurnAcross(every * this->settings.crossZoneProbersPerZone));
     const bool helped = this->troubledProbes > 0 && this->probeTroubledZone(now);
     if (crossing && !helped && !otherPeers.empty())
         this->startProbe(now, this->nextInRing(this->otherRing, otherPeers));
@@ -65,7 +65,7 @@
 bool Membership::probeTroubledZone(Instant now)
 {
     --this->troubledProbes;
-    const std::vector<std::uint64_t> &peers = this->table.otherPeers();
+    const std::vector<std::uint64_t> &peers = this->table.otherZonePeers();
     std::uniform_int_distribution<std::size_t> any(0, peers.empty() ? 0 : peers.size() - 1);
     const std::size_t first = any(this->random);
     const MemberRecord *target = nullptr;
@@ -114,7 +114,7 @@
     ping.target = record->member.id;
     // A suspect learns of it from whoever probes it, and can refute.
     if (record->member.state != MemberState::Alive)
-        ping.briefs.push_back(MemberTable::briefOf(*record));
+        ping.updates.push_back(MemberTable::makeUpdate(*record));
     this->sendWithChanges(record->member.gossipAddress, this->isOfOwnZone(record), std::move(ping));
 }
 
@@ -173,7 +173,7 @@
     if (record == nullptr || record->member.state != MemberState::Alive)
         return;
     ++this->counts.suspicions;
-    MemberBrief brief = MemberTable::briefOf(*record);
+    MemberUpdate brief = MemberTable::makeUpdate(*record);
     brief.state = MemberState::Suspect;
     const MergeOutcome outcome = this->table.merge(brief, now);
     this->afterMerge(now, target, outcome);
@@ -191,7 +191,7 @@
             continue;
         }
         ++this->counts.deaths;
-        MemberBrief brief = MemberTable::briefOf(*record);
+        MemberUpdate brief = MemberTable::makeUpdate(*record);
         brief.state = MemberState::Dead;
         const MergeOutcome outcome = this->table.merge(brief, now);
         this->afterMerge(now, idHash, outcome);
@@ -226,7 +226,7 @@
 {
     Datagram ping = this->makeDatagram(DatagramKind::Ping, ++this->lastSequence);
     ping.target = record.member.id;
-    ping.briefs.push_back(MemberTable::briefOf(record));
+    ping.updates.push_back(MemberTable::makeUpdate(record));
     this->transmit(record.member.gossipAddress, ping);
 }
 
@@ -252,7 +252,7 @@
     Datagram ack = this->makeDatagram(DatagramKind::Ack, datagram.sequence);
     const MemberRecord *sender = this->table.find(datagram.sender);
     if (sender != nullptr && sender->member.state != MemberState::Alive)
-        ack.briefs.push_back(MemberTable::briefOf(*sender));
+        ack.updates.push_back(MemberTable::makeUpdate(*sender));
     this->sendWithChanges(from, this->isOfOwnZone(sender), std::move(ack));
 }
 
--- a/Libraries/LibMembership/MembershipSync.cpp
+++ b/Libraries/LibMembership/MembershipSync.cpp
@@ -33,8 +33,10 @@
 
 std::uint64_t Membership::pickPeer(bool ownZone)
 {
-    const std::vector<std::uint64_t> &wanted = ownZone ? this->table.zonePeers() : this->table.otherPeers();
-    const std::vector<std::uint64_t> &other = ownZone ? this->table.otherPeers() : this->table.zonePeers();
+    const std::vector<std::uint64_t> &wanted =
+        ownZone ? this->table.zonePeers() : this->table.otherZonePeers();
+    const std::vector<std::uint64_t> &other =
+        ownZone ? this->table.otherZonePeers() : this->table.zonePeers();
     const std::vector<std::uint64_t> &peers = wanted.empty() ? other : wanted;
     if (peers.empty())
         return 0;
@@ -54,7 +56,8 @@
 {
     if (this->goodbyeRounds > 0)
         --this->goodbyeRounds;
-    const bool across = this->ownNewsRounds > 0 || this->isMyTurnAcross(this->settings.gossipersAcrossZone);
+    const bool across =
+        this->ownNewsRounds > 0 || this->isMyTurnAcross(this->settings.crossZoneGossipersPerZone);
     this->ownNewsRounds -= this->ownNewsRounds > 0 ? 1 : 0;
     const std::uint32_t tellLimit = this->newsTellLimit();
     for (std::uint32_t i = 0; i < this->settings.gossipFanout; ++i) {
@@ -64,7 +67,7 @@
         if (this->changes.empty() && !headIsNews && !noticeIsNews)
             return;
         if (!this->maySpend(0)) {
-            ++this->counts.heldBack;
+            ++this->counts.suppressed;
             return;
         }
         const MemberRecord *peer = this->table.find(this->pickPeer(i != 0 || !across));
@@ -203,7 +206,7 @@
     this->sendRecords(from, this->isOfOwnZone(joiner), near, joinAnswerDatagrams);
     if (joiner->member.incarnation > datagram.senderIncarnation || !isPresent(joiner->member.state)) {
         Datagram notice = this->makeDatagram(DatagramKind::Gossip);
-        notice.briefs.push_back(MemberTable::briefOf(*joiner));
+        notice.updates.push_back(MemberTable::makeUpdate(*joiner));
         this->transmit(from, notice);
     }
 }
@@ -217,12 +220,12 @@
 void Membership::startSync(Instant /*now*/)
 {
     if (!this->maySpend(syncReserve)) {
-        ++this->counts.heldBack;
+        ++this->counts.suppressed;
         return;
     }
     std::uniform_int_distribution<int> quarter(0, 3);
     const bool across =
-        quarter(this->random) == 0 && this->isMyTurnAcross(4 * this->settings.syncersAcrossZone);
+        quarter(this->random) == 0 && this->isMyTurnAcross(4 * this->settings.crossZoneSyncersPerZone);
     const MemberRecord *peer = this->table.find(across ? this->pickPeer(false) : this->nextToCompare());
     if (peer != nullptr)
         this->transmit(peer->member.gossipAddress, this->makeSyncDigest());
@@ -377,7 +380,7 @@
     std::size_t next = 0;
     for (std::size_t sent = 0; sent < maximumDatagrams && next < records.size(); ++sent) {
         if (!this->maySpend(syncReserve, ownZone)) {
-            ++this->counts.heldBack;
+            ++this->counts.suppressed;
             return;
         }
         // A sequence marks an answer: whoever gets one has more to catch up on.
--- a/Libraries/LibMembership/NoticeBoard.cpp
+++ b/Libraries/LibMembership/NoticeBoard.cpp
@@ -6,13 +6,13 @@
 
 namespace Sagecrank {
 
-bool NoticeBoard::merge(Instant now, const Notice &notice)
+bool NoticeTable::merge(Instant now, const Notice &notice)
 {
-    const Instant expiresAt = now + std::chrono::seconds(notice.lifeSeconds);
+    const Instant expiresAt = now + std::chrono::seconds(notice.timeToLiveSeconds);
     const Key key{notice.subject, notice.source};
     const auto found = this->entries.find(key);
     if (found == this->entries.end()) {
-        if (notice.lifeSeconds == 0)
+        if (notice.timeToLiveSeconds == 0)
             return false;
         if (this->entries.size() >= maximumNotices && !this->makeRoom(expiresAt))
             return false;
@@ -27,7 +27,7 @@
     return true;
 }
 
-bool NoticeBoard::makeRoom(Instant expiresAt)
+bool NoticeTable::makeRoom(Instant expiresAt)
 {
     // Notices of one moment differ by what rounding took on their ways, and must not displace each other.
     constexpr Duration sameMoment = std::chrono::seconds(3);
@@ -39,7 +39,7 @@
     return true;
 }
 
-void NoticeBoard::fill(Instant now, Datagram &datagram, std::size_t room, std::uint32_t tellLimit)
+void NoticeTable::fill(Instant now, Datagram &datagram, std::size_t room, std::uint32_t tellLimit)
 {
     std::vector<std::map<Key, Entry>::iterator> candidates;
     for (auto entry = this->entries.begin(); entry != this->entries.end(); ++entry) {
@@ -55,19 +55,19 @@
     }
 }
 
-bool NoticeBoard::expire(Instant now)
+bool NoticeTable::expire(Instant now)
 {
     return std::erase_if(this->entries, [now](const auto &entry) { return entry.second.expiresAt <= now; })
            > 0;
 }
 
-bool NoticeBoard::hasNews(std::uint32_t tellLimit) const
+bool NoticeTable::hasNews(std::uint32_t tellLimit) const
 {
     return std::ranges::any_of(this->entries,
                                [tellLimit](const auto &entry) { return entry.second.told < tellLimit; });
 }
 
-std::vector<Notice> NoticeBoard::list(Instant now) const
+std::vector<Notice> NoticeTable::list(Instant now) const
 {
     std::vector<Notice> notices;
     notices.reserve(this->entries.size());
@@ -76,7 +76,7 @@
     return notices;
 }
 
-Notice NoticeBoard::noticeOf(const Key &key, const Entry &entry, Instant now)
+Notice NoticeTable::noticeOf(const Key &key, const Entry &entry, Instant now)
 {
     const auto left = std::chrono::duration_cast<std::chrono::seconds>(entry.expiresAt - now).count();
     const auto life = std::clamp<std::int64_t>(left, 0, std::numeric_limits<std::uint16_t>::max());
--- a/Libraries/LibMembership/NoticeBoard.h
+++ b/Libraries/LibMembership/NoticeBoard.h
@@ -18,7 +18,7 @@
 // costs a node some 100 KB at most and does not shut out what is told later.
 inline constexpr std::size_t maximumNotices = 1024;
 
-class NoticeBoard
+class NoticeTable
 {
 public:
     // Commands.
--- a/Libraries/LibSpread/PullPlan.cpp
+++ b/Libraries/LibSpread/PullPlan.cpp
@@ -20,7 +20,7 @@
 {
 }
 
-void PullPlan::want(const ConfigurationMark &mark, Instant now)
+void PullPlan::want(const ConfigurationVersion &mark, Instant now)
 {
     if (mark.version <= std::max(this->target.version, this->deferred.version))
         return;
@@ -35,7 +35,7 @@
 // Failure: the source does not answer while peers tell of versions, and the reads for these fail one after
 // the other. Symptom: the pause that grew meanwhile outlives the outage, and a node that has the newest
 // version in its hands puts it in force a second late, or more. A source that tells of a version lives.
-void PullPlan::sourceReported(const ConfigurationMark &mark, Instant now)
+void PullPlan::sourceReported(const ConfigurationVersion &mark, Instant now)
 {
     const bool news = mark.version > this->reportedBySource && mark.version >= this->target.version;
     this->reportedBySource = std::max(this->reportedBySource, mark.version);
@@ -48,13 +48,13 @@
     this->want(mark, now);
 }
 
-void PullPlan::settleFor(const ConfigurationMark &mark, Instant now)
+void PullPlan::settleFor(const ConfigurationVersion &mark, Instant now)
 {
     if (mark.version == 0 || this->inFlight())
         return;
     if (mark.version >= this->target.version)
         return this->want(mark, now);
-    const ConfigurationMark newer = this->target;
+    const ConfigurationVersion newer = this->target;
     this->target = {};
     this->want(mark, now);
     this->deferred = newer;
@@ -226,7 +226,7 @@
     this->avoided[id] = now + this->settings.avoidPeerFor;
 }
 
-bool PullPlan::isRefused(const ConfigurationMark &mark) const
+bool PullPlan::isRefused(const ConfigurationVersion &mark) const
 {
     return std::find(this->refused.begin(), this->refused.end(), mark) != this->refused.end();
 }
--- a/Libraries/LibSpread/PullPlan.h
+++ b/Libraries/LibSpread/PullPlan.h
@@ -93,10 +93,10 @@
     PullPlan(PullSettings settings, std::uint64_t seed);
 
     // Commands.
-    void want(const ConfigurationMark &mark, Instant now); // Heard of from peers.
-    void sourceReported(const ConfigurationMark &mark, Instant now);
+    void want(const ConfigurationVersion &mark, Instant now); // Heard of from peers.
+    void sourceReported(const ConfigurationVersion &mark, Instant now);
     // Only for a node that holds nothing: takes an older version first, and wants the newer one after it.
-    void settleFor(const ConfigurationMark &mark, Instant now);
+    void settleFor(const ConfigurationVersion &mark, Instant now);
     // Begins an attempt when it names a source; succeeded() or failed() with its number must follow.
     PullStep next(Instant now, std::uint64_t heldVersion, std::uint32_t rank,
                   const std::vector<Holder> &holders);
@@ -108,10 +108,10 @@
     std::vector<OverduePull> takeOverdue(Instant now);
 
     // Queries.
-    const ConfigurationMark &wanted() const { return this->target; }
+    const ConfigurationVersion &wanted() const { return this->target; }
     bool inFlight() const { return !this->open.empty(); }
     bool isOpen(std::uint64_t number) const;
-    bool isRefused(const ConfigurationMark &mark) const;
+    bool isRefused(const ConfigurationVersion &mark) const;
 
 private:
     void noteBehind(Instant now);
@@ -137,9 +137,9 @@
 
     PullSettings settings;
     std::mt19937_64 random;
-    ConfigurationMark target;
+    ConfigurationVersion target;
     std::uint64_t reportedBySource = 0; // The newest version that the source itself reported.
-    ConfigurationMark deferred;         // Wanted once the target is held; newer than it, or no version.
+    ConfigurationVersion deferred;      // Wanted once the target is held; newer than it, or no version.
     // When the node fell behind, or last came nearer to the target; from it the turns of other zones and of
     // the platform are counted.
     Instant behindSince{};
@@ -152,7 +152,7 @@
     std::uint32_t platformFailures = 0;     // In a row.
     std::map<std::string, Instant> avoided; // Peers, until when.
     // Versions whose content from the platform itself did not check; never asked for again. Bounded.
-    std::vector<ConfigurationMark> refused;
+    std::vector<ConfigurationVersion> refused;
     bool peerContentInvalid = false; // A peer's copy of the target did not check: only the platform can tell.
 };
 
--- a/Services/Node/Control/ControlFollower.cpp
+++ b/Services/Node/Control/ControlFollower.cpp
@@ -86,7 +86,7 @@
     this->advanceTimer.cancel();
 }
 
-void ControlFollower::heard(const ConfigurationMark &mark)
+void ControlFollower::heard(const ConfigurationVersion &mark)
 {
     this->plan.want(mark, SteadyClock::now());
     this->considerPull();
@@ -151,7 +151,7 @@
         this->hooks.sourceBack({now - this->sourceAnswered, this->poll.failuresInRow(), found.version});
     this->sourceAnswered = now;
     this->poll.answered(now, this->poller(), read.number, found.version > known);
-    const ConfigurationMark mark{found.version, found.digest.high, found.digest.low};
+    const ConfigurationVersion mark{found.version, found.digest.high, found.digest.low};
     this->plan.sourceReported(mark, now);
     if (mark.version != 0)
         this->hooks.headSeen(mark);
@@ -329,7 +329,7 @@
 void ControlFollower::fail(std::uint64_t number, const Error &error, PullFailure failure)
 {
     ++this->counts.pullFailures;
-    const ConfigurationMark mark = this->plan.wanted();
+    const ConfigurationVersion mark = this->plan.wanted();
     this->plan.failed(SteadyClock::now(), number, failure, {});
     if (this->plan.isRefused(mark))
         ++this->counts.refusedVersions;
--- a/Services/Node/Control/ControlFollower.h
+++ b/Services/Node/Control/ControlFollower.h
@@ -51,8 +51,8 @@
 struct FollowerHooks
 {
     std::function<Result<void>(SiteConfiguration)> offer;
-    std::function<void(const ConfigurationMark &)> headSeen; // Read from the platform.
-    std::function<void(std::uint64_t version)> held;         // A version was taken in.
+    std::function<void(const ConfigurationVersion &)> headSeen; // Read from the platform.
+    std::function<void(std::uint64_t version)> held;            // A version was taken in.
     std::function<std::vector<Holder>(std::uint64_t version)> holders;
     std::function<std::vector<std::uint64_t>()> zoneVersions; // What the zone's peers hold.
     std::function<std::uint32_t()> rank;                      // For polling the head.
@@ -78,15 +78,15 @@
     // Commands.
     void start();
     void stop();
-    void heard(const ConfigurationMark &mark); // By gossip.
-    void considerPull();                       // Tries what is due; also called when a holder appeared.
+    void heard(const ConfigurationVersion &mark); // By gossip.
+    void considerPull();                          // Tries what is due; also called when a holder appeared.
 
     // Queries.
     PullResponse serve(const PullRequest &request); // Computes and keeps deltas, and changes nothing else.
     std::uint64_t heldVersion() const;
     const FollowerCounters &counters() const { return this->counts; }
     VersionSourceCounters sourceCounters() const { return this->source.counters(); }
-    const ConfigurationMark &wanted() const { return this->plan.wanted(); }
+    const ConfigurationVersion &wanted() const { return this->plan.wanted(); }
     Duration sourceAge() const; // Since the source last answered, or since the start.
 
 private:
--- a/Services/Node/Control/ControlIntroducers.cpp
+++ b/Services/Node/Control/ControlIntroducers.cpp
@@ -34,7 +34,7 @@
 } // namespace
 
 ControlIntroducers::ControlIntroducers(boost::asio::io_context &context, std::string zone,
-                                       std::string gossipAddress, TablePort table, IntroducerPace pace,
+                                       std::string gossipAddress, TablePort table, IntroducerTiming pace,
                                        IntroducerHooks hooks, std::uint64_t seed)
     : timer(context)
     , zone(std::move(zone))
@@ -49,7 +49,7 @@
 
 void ControlIntroducers::start()
 {
-    this->later(this->pace.firstRound);
+    this->later(this->pace.initialDelay);
 }
 
 void ControlIntroducers::stop()
@@ -72,7 +72,7 @@
 {
     const std::uint32_t rank = this->hooks.rank();
     const IntroducerRound now = this->rounds.next(this->hooks.knowsOthers(), rank);
-    if (now.write == IntroducerWrite::RankedPlace)
+    if (now.write == IntroducerWrite::RankedRow)
         this->writeWhenDue(rank);
     if (now.read)
         this->read(now);
@@ -87,7 +87,7 @@
 void ControlIntroducers::writeWhenDue(std::uint32_t place)
 {
     const Instant now = SteadyClock::now();
-    if (this->writtenAt != Instant::min() && now - this->writtenAt < introducerRenewal / 2)
+    if (this->writtenAt != Instant::min() && now - this->writtenAt < introducerRenewalInterval / 2)
         return;
     this->write(place);
 }
@@ -121,7 +121,7 @@
         ++this->counts.failures;
         this->writtenAt = Instant::min(); // The next round tries again.
         if (this->owed && !this->stopped)
-            this->later(this->pace.longestLonelyBackoff);
+            this->later(this->pace.maximumIsolatedBackoff);
     });
 }
 
@@ -155,14 +155,13 @@
         std::erase_if(freePlaces,
                       [&](std::uint32_t place) { return row.key.sort == sortKey(this->zone, place); });
     }
-    const bool mayWrite =
-        round.write == IntroducerWrite::FreePlace || round.write == IntroducerWrite::AnyPlace;
+    const bool mayWrite = round.write == IntroducerWrite::FreeRow || round.write == IntroducerWrite::AnyRow;
     if (mayWrite && !freePlaces.empty())
         this->writeWhenDue(this->anyOf(freePlaces));
-    else if (round.write == IntroducerWrite::AnyPlace)
+    else if (round.write == IntroducerWrite::AnyRow)
         this->writeWhenDue(this->anyOf(allPlaces()));
     this->hooks.found(ownZone, true);
-    if (!round.greetOtherZones || otherZones.empty())
+    if (!round.contactOtherZones || otherZones.empty())
         return;
     std::vector<std::string> greeted;
     for (const auto &[from, addresses] : otherZones)
--- a/Services/Node/Control/ControlIntroducers.h
+++ b/Services/Node/Control/ControlIntroducers.h
@@ -38,7 +38,7 @@
 {
 public:
     ControlIntroducers(boost::asio::io_context &context, std::string zone, std::string gossipAddress,
-                       TablePort table, IntroducerPace pace, IntroducerHooks hooks, std::uint64_t seed);
+                       TablePort table, IntroducerTiming pace, IntroducerHooks hooks, std::uint64_t seed);
 
     // Commands.
     void start();
@@ -61,11 +61,11 @@
     std::string zone;
     std::string gossipAddress;
     TablePort table;
-    const IntroducerPace pace;
+    const IntroducerTiming pace;
     IntroducerHooks hooks;
     std::mt19937_64 random;
     IntroducerCounters counts;
-    IntroducerRounds rounds;
+    IntroducerSchedule rounds;
     Instant writtenAt = Instant::min(); // The node's own row.
     bool owed = false;                  // The row may be lost and has not been written again.
     bool stopped = false;
--- a/Services/Node/Control/ControlPlane.cpp
+++ b/Services/Node/Control/ControlPlane.cpp
@@ -47,7 +47,7 @@
     self.gossipAddress = settings.gossipAddress;
     self.peerAddress = settings.peerAddress;
     self.controlAddress = settings.controlAddress;
-    self.linkMegabits = settings.linkMegabits;
+    self.linkMbps = settings.linkMegabits;
     return self;
 }
 
@@ -139,12 +139,12 @@
             this->tellViewSoon();
         };
         made.noticesChanged = this->hooks.noticesChanged;
-        made.headRaised = [this](const ConfigurationMark &mark) { this->follower.heard(mark); };
-        made.storeEraRaised = [this](std::uint64_t era) {
+        made.headAdvanced = [this](const ConfigurationVersion &mark) { this->follower.heard(mark); };
+        made.storeEraAdvanced = [this](std::uint64_t era) {
             if (this->hooks.storeEraHeard)
                 this->hooks.storeEraHeard(era);
         };
-        made.heldRaised = [this](const Member &) { this->follower.considerPull(); };
+        made.heldVersionAdvanced = [this](const Member &) { this->follower.considerPull(); };
         return made;
     }
 
@@ -152,7 +152,7 @@
     {
         FollowerHooks made;
         made.offer = this->hooks.configurationOffered;
-        made.headSeen = [this](const ConfigurationMark &mark) {
+        made.headSeen = [this](const ConfigurationVersion &mark) {
             this->gossip.membership().setConfiguration(this->follower.heldVersion(), mark);
         };
         made.held = [this](std::uint64_t version) {
@@ -221,9 +221,7 @@
     std::uint32_t readerRank() const
     {
         std::vector<PlatformReader> others;
-        this->forEachZonePeer([&](const Member &member) {
-            others.push_back({member.id, member.linkMegabits});
-        });
+        this->forEachZonePeer([&](const Member &member) { others.push_back({member.id, member.linkMbps}); });
         return platformReaderRank(this->zoneRole("head"), {this->settings.id, this->settings.linkMegabits},
                                   others, this->settings.follower.poll.fastPollersPerZone);
     }
@@ -283,7 +281,7 @@
 
     void awaitGoodbye(std::function<void()> done)
     {
-        if (this->gossip.membership().saidGoodbye())
+        if (this->gossip.membership().leaveComplete())
             return done();
         this->goodbyeTimer.expires_after(goodbyePoll);
         this->goodbyeTimer.async_wait(
--- a/Services/Node/Control/ControlPlane.h
+++ b/Services/Node/Control/ControlPlane.h
@@ -38,7 +38,7 @@
     std::vector<std::string> seeds; // Gossip addresses.
     MembershipSettings membership;  // Its seeds are ignored.
     FollowerSettings follower;
-    IntroducerPace introducers;
+    IntroducerTiming introducers;
 };
 
 // All are called on the control thread. Hooks that are not set are not called.
--- a/Services/Node/Gate/RequestQuarantine.cpp
+++ b/Services/Node/Gate/RequestQuarantine.cpp
@@ -27,7 +27,7 @@
     for (const Notice &notice : notices) {
         if (notice.state <= static_cast<std::uint8_t>(CrashReportState::Cleared))
             reports.push_back({notice.subject, notice.source, static_cast<CrashReportState>(notice.state),
-                               now + std::chrono::seconds(notice.lifeSeconds)});
+                               now + std::chrono::seconds(notice.timeToLiveSeconds)});
     }
     return reports;
 }
@@ -141,8 +141,8 @@
 {
     std::vector<KeptCrash> crashes;
     for (const Notice &notice : notices)
-        crashes.push_back(
-            {notice.subject, notice.source, now + std::uint64_t{notice.lifeSeconds} * millisecondsPerSecond});
+        crashes.push_back({notice.subject, notice.source,
+                           now + std::uint64_t{notice.timeToLiveSeconds} * millisecondsPerSecond});
     return crashes;
 }
 
--- a/Services/Node/NodeParts.cpp
+++ b/Services/Node/NodeParts.cpp
@@ -54,12 +54,12 @@
     // after the other in each zone: 50 calls a second of a zone at most.
     control.follower.pull.platformAfter = Milliseconds(1000);
     control.follower.pull.platformAfterEachRank = Milliseconds(20);
-    control.introducers.firstRound = Milliseconds(10);
+    control.introducers.initialDelay = Milliseconds(10);
     // Load: all hosts lose power, and their nodes start within a fifth of a second. Harm of a pause of 300
     // ms: the zones hear of each other after 0.7 to 1.0 s, and all calls to another zone's service are
     // refused meanwhile. The longest pause is how long a lonely node stands apart once the store is back.
-    control.introducers.lonelyBackoff = Milliseconds(60);
-    control.introducers.longestLonelyBackoff = Milliseconds(1500);
+    control.introducers.isolatedBackoff = Milliseconds(60);
+    control.introducers.maximumIsolatedBackoff = Milliseconds(1500);
 }
 
 } // namespace
--- a/Tests/Control/TestControlPlane.cpp
+++ b/Tests/Control/TestControlPlane.cpp
@@ -370,7 +370,7 @@
     std::uint64_t held = 0;
     FollowerHooks hooks;
     hooks.offer = [](const SiteConfiguration &) { return success(); };
-    hooks.headSeen = [](const ConfigurationMark &) {};
+    hooks.headSeen = [](const ConfigurationVersion &) {};
     hooks.held = [&held](std::uint64_t version) { held = version; };
     hooks.holders = [](std::uint64_t) { return std::vector<Holder>{}; };
     hooks.rank = [] { return 0U; };
--- a/Tests/Control/TestIntroducers.cpp
+++ b/Tests/Control/TestIntroducers.cpp
@@ -70,7 +70,7 @@
         };
         node->introducers = std::make_unique<ControlIntroducers>(
             this->context, zone, node->address, this->table.port(),
-            IntroducerPace{Milliseconds(10), Milliseconds(50), Milliseconds(1000)}, hooks,
+            IntroducerTiming{Milliseconds(10), Milliseconds(50), Milliseconds(1000)}, hooks,
             this->nodes.size() + 1);
         this->nodes.push_back(std::move(node));
     }
--- a/Tests/LibMembership/TestDatagram.cpp
+++ b/Tests/LibMembership/TestDatagram.cpp
@@ -21,7 +21,7 @@
     member.gossipAddress = "127.0.0.1:8201";
     member.peerAddress = "127.0.0.1:8101";
     member.controlAddress = "10.1.2.3:8301";
-    member.linkMegabits = 100;
+    member.linkMbps = 100;
     member.cluster = "booking";
     member.upstream = UpstreamState::Ready;
     member.slots = 6;
@@ -44,7 +44,7 @@
     datagram.buckets = {4, 5};
     datagram.entries = {{6, 7, MemberState::Dead}};
     datagram.wanted = {8, 9};
-    datagram.briefs = {{1, 2, 3, MemberState::Suspect, UpstreamState::Draining, 6}};
+    datagram.updates = {{1, 2, 3, MemberState::Suspect, UpstreamState::Draining, 6}};
     datagram.members = {exampleMember(), exampleMember()};
     return datagram;
 }
@@ -70,7 +70,7 @@
     cr_assert(received.target == sent.target && received.targetAddress == sent.targetAddress);
     cr_assert(received.bucketHashes == sent.bucketHashes && received.buckets == sent.buckets);
     cr_assert(received.entries == sent.entries && received.wanted == sent.wanted);
-    cr_assert(received.briefs == sent.briefs && received.members == sent.members);
+    cr_assert(received.updates == sent.updates && received.members == sent.members);
 }
 
 Test(datagram, sizesArePredictedExactly)
@@ -81,9 +81,9 @@
     datagram.members = {exampleMember()};
     cr_assert(encodeDatagram(datagram).size() == empty + encodedSize(exampleMember()));
     datagram.members.clear();
-    datagram.briefs.resize(1);
-    cr_assert(encodeDatagram(datagram).size() == empty + encodedBriefSize);
-    datagram.briefs.clear();
+    datagram.updates.resize(1);
+    cr_assert(encodeDatagram(datagram).size() == empty + encodedUpdateSize);
+    datagram.updates.clear();
     datagram.entries.resize(1);
     cr_assert(encodeDatagram(datagram).size() == empty + encodedEntrySize);
 }
--- a/Tests/LibMembership/TestMeeting.cpp
+++ b/Tests/LibMembership/TestMeeting.cpp
@@ -30,9 +30,9 @@
     void start(std::size_t node, std::uint64_t incarnation)
     {
         this->network.start(node, incarnation);
-        this->rounds[node] = IntroducerRounds(pace);
+        this->rounds[node] = IntroducerSchedule(pace);
         this->writtenAt.erase(node);
-        this->nextRound[node] = this->network.now + pace.firstRound;
+        this->nextRound[node] = this->network.now + pace.initialDelay;
     }
 
     void stop(std::size_t node) { this->network.nodes[node].running = false; }
@@ -59,7 +59,7 @@
     std::uint64_t calls = 0; // Of the table.
 
 private:
-    static constexpr IntroducerPace pace{Milliseconds(10), Milliseconds(60), Milliseconds(1500)};
+    static constexpr IntroducerTiming pace{Milliseconds(10), Milliseconds(60), Milliseconds(1500)};
 
     void advance()
     {
@@ -78,7 +78,7 @@
         this->nextRound[node] = this->network.now + round.pause * (70 + this->draw(60)) / 100;
         if (this->tableAway)
             return;
-        if (round.write == IntroducerWrite::RankedPlace)
+        if (round.write == IntroducerWrite::RankedRow)
             this->write(node, this->rankOf(node));
         if (round.read)
             this->read(node, round);
@@ -88,7 +88,7 @@
     {
         // A row is renewed once in half of its life.
         if (this->writtenAt.contains(node)
-            && this->network.now - this->writtenAt[node] < introducerRenewal / 2)
+            && this->network.now - this->writtenAt[node] < introducerRenewalInterval / 2)
             return;
         this->writtenAt[node] = this->network.now;
         ++this->calls;
@@ -115,13 +115,13 @@
                 others.push_back(addresses[this->draw(addresses.size())]);
         }
         const bool mayWrite =
-            round.write == IntroducerWrite::FreePlace || round.write == IntroducerWrite::AnyPlace;
+            round.write == IntroducerWrite::FreeRow || round.write == IntroducerWrite::AnyRow;
         if (mayWrite && !free.empty())
             this->write(node, free[this->draw(free.size())]);
-        else if (round.write == IntroducerWrite::AnyPlace)
+        else if (round.write == IntroducerWrite::AnyRow)
             this->write(node, this->draw(introducersPerZone));
         this->found(node, ownZone, true);
-        if (round.greetOtherZones)
+        if (round.contactOtherZones)
             this->found(node, others, false);
     }
 
@@ -139,7 +139,7 @@
         return rank;
     }
 
-    std::vector<IntroducerRounds> rounds;
+    std::vector<IntroducerSchedule> rounds;
     std::vector<Instant> nextRound;
     std::map<std::string, std::map<std::uint64_t, std::string>> rows; // By zone and place.
     std::map<std::size_t, Instant> writtenAt;                         // Of each node's row.
--- a/Tests/LibMembership/TestMembership.cpp
+++ b/Tests/LibMembership/TestMembership.cpp
@@ -223,7 +223,7 @@
     FakeNetwork network({30, 3, 1, 37, 0});
     network.runUntil([&] { return network.converged(); }, seconds(60));
     network.nodes[9].membership->leave(network.now);
-    network.runUntil([&] { return network.nodes[9].membership->saidGoodbye(); }, seconds(10));
+    network.runUntil([&] { return network.nodes[9].membership->leaveComplete(); }, seconds(10));
     network.nodes[9].running = false;
     cr_assert(network.runUntil([&] { return network.converged(); }, minutes(1)) <= seconds(4));
     cr_assert(network.stateOf(0, 9) == MemberState::Left);
@@ -247,7 +247,9 @@
     network.runUntil([&] { return network.converged(); }, seconds(60));
     network.nodes[3].membership->setConfiguration(9, {9, 1, 2});
     const auto seen = [&] {
-        return network.allRunning([](const Membership &m) { return m.head() == ConfigurationMark{9, 1, 2}; });
+        return network.allRunning([](const Membership &m) {
+            return m.head() == ConfigurationVersion{9, 1, 2};
+        });
     };
     cr_assert(network.runUntil(seen, minutes(1)) <= seconds(4));
     network.nodes[3].membership->setConfiguration(8, {8, 3, 4});
--- a/Tests/LibMembership/TestNotices.cpp
+++ b/Tests/LibMembership/TestNotices.cpp
@@ -81,7 +81,7 @@
     std::uint16_t shortest = 600;
     for (auto &node : network.nodes) {
         for (const Notice &notice : node.membership->notices())
-            shortest = std::min(shortest, notice.lifeSeconds);
+            shortest = std::min(shortest, notice.timeToLiveSeconds);
     }
     cr_assert(shortest >= 530, "%zu nodes: %u s of 540 are left", row.nodes, unsigned{shortest});
 }
@@ -89,7 +89,7 @@
 // A flood of them must not fill a node's memory.
 Test(noticeBoard, isBounded)
 {
-    NoticeBoard board;
+    NoticeTable board;
     for (std::uint64_t subject = 0; subject < 10 * maximumNotices; ++subject)
         board.merge(start, {subject, 1, 0, 600});
     cr_assert(board.list(start).size() == maximumNotices);
@@ -98,7 +98,7 @@
 // After a mass crash the next request that crashes upstreams must still be told of.
 Test(noticeBoard, aFloodDoesNotShutOutLaterNotices)
 {
-    NoticeBoard board;
+    NoticeTable board;
     for (std::uint64_t subject = 0; subject < 10 * maximumNotices; ++subject)
         board.merge(start, {subject, 1, 0, 600});
     const Instant later = start + seconds(10);
@@ -114,7 +114,7 @@
 // Datagrams arrive late, twice and in any order.
 Test(noticeBoard, keepsTheHigherStateAndTheLifeFirstHeard)
 {
-    NoticeBoard board;
+    NoticeTable board;
     cr_assert(board.merge(start, {7, 1, 1, 60}));
     cr_assert(!board.merge(start, {7, 1, 0, 600}));
     cr_assert(!board.merge(start, {7, 1, 1, 30}));
--- a/Utilities/FleetBench/Polling.cpp
+++ b/Utilities/FleetBench/Polling.cpp
@@ -44,7 +44,7 @@
             printSwap(i, configuration.manifest.version);
             return success();
         };
-        hooks.headSeen = [](const ConfigurationMark &) {};
+        hooks.headSeen = [](const ConfigurationVersion &) {};
         hooks.held = [](std::uint64_t) {};
         hooks.holders = [](std::uint64_t) { return std::vector<Holder>(); };
         hooks.zoneVersions = [] { return std::vector<std::uint64_t>(); };
--- a/Utilities/FleetBench/Push.cpp
+++ b/Utilities/FleetBench/Push.cpp
@@ -130,7 +130,7 @@
         source.push(configuration);
         return success();
     };
-    hooks.headSeen = [](const ConfigurationMark &) {};
+    hooks.headSeen = [](const ConfigurationVersion &) {};
     hooks.held = [](std::uint64_t) {};
     hooks.holders = [](std::uint64_t) { return std::vector<Holder>(); };
     hooks.zoneVersions = [] { return std::vector<std::uint64_t>(); };
--- a/Utilities/FleetBench/TableBench.cpp
+++ b/Utilities/FleetBench/TableBench.cpp
@@ -74,11 +74,12 @@
     datagram.senderIncarnation = 1;
     for (std::size_t i = 2; i < shape.members; i += shape.zones) {
         const Member member = makeMember(shape, i, 1);
-        datagram.briefs.push_back({hashId(member.id), 1, hashFixedFacts(member), state, member.upstream, 6});
-        if (datagram.briefs.size() < 40)
+        datagram.updates.push_back(
+            {hashId(member.id), 1, hashStaticFields(member), state, member.upstream, 6});
+        if (datagram.updates.size() < 40)
             continue;
         mesh.deliver(0, datagram);
-        datagram.briefs.clear();
+        datagram.updates.clear();
         mesh.run(Milliseconds(100));
     }
 }
