--- a/Libraries/LibPlatform/TableProtocol.cpp
+++ b/Libraries/LibPlatform/TableProtocol.cpp
@@ -159,12 +159,12 @@
     return makeError(kindOf(type), step, "table", type.empty() ? "answered status 400" : type);
 }
 
-PutVerdict verdictOf(const json::value &reason)
+PutOutcome verdictOf(const json::value &reason)
 {
     const json::value *code = reason.is_object() ? reason.as_object().if_contains("Code") : nullptr;
     if (code != nullptr && code->is_string() && view(code->as_string()) == "ConditionalCheckFailed")
-        return PutVerdict::ConditionFailed;
-    return PutVerdict::NotApplied;
+        return PutOutcome::ConditionFailed;
+    return PutOutcome::NotApplied;
 }
 
 } // namespace
@@ -238,7 +238,7 @@
 Result<TransactionResult> readTransaction(const HttpResponse &response, std::size_t count)
 {
     if (response.status == statusOk)
-        return TransactionResult(count, PutVerdict::Applied);
+        return TransactionResult(count, PutOutcome::Applied);
     const Result<json::object> body = parseObject(response.body);
     if (response.status != statusBadRequest || !body
         || errorType(body.assume_value()) != "TransactionCanceledException")
--- a/Libraries/LibSource/CircuitBreaker.h
+++ b/Libraries/LibSource/CircuitBreaker.h
@@ -10,67 +10,67 @@
 
 namespace Sagecrank {
 
-struct CircuitSettings
+struct CircuitBreakerSettings
 {
     // Single lost answers are ordinary; five in a row without one success between them are an outage.
     std::uint32_t failuresToOpen = 5;
     // One probe per interval: at 6,500 nodes the first interval is 26,000 probes a second, more than the
     // platform takes, so it doubles up to five seconds, which is 1,300.
-    Milliseconds firstInterval{250};
-    Milliseconds maximumInterval{5000};
+    Milliseconds initialProbeInterval{250};
+    Milliseconds maximumProbeInterval{5000};
 };
 
-class Circuit
+class CircuitBreaker
 {
 public:
-    explicit Circuit(CircuitSettings settings)
+    explicit CircuitBreaker(CircuitBreakerSettings settings)
         : settings(settings)
-        , interval(settings.firstInterval)
+        , probeInterval(settings.initialProbeInterval)
     {
     }
 
     // True when the call may go out. While open, one call per interval may: the probe.
-    bool admit(Instant now)
+    bool allowRequest(Instant now)
     {
         if (!this->open)
             return true;
         if (now < this->nextProbe)
             return false;
-        this->nextProbe = now + this->interval;
+        this->nextProbe = now + this->probeInterval;
         return true;
     }
 
-    void succeeded()
+    void recordSuccess()
     {
         this->open = false;
-        this->failures = 0;
-        this->interval = this->settings.firstInterval;
+        this->consecutiveFailures = 0;
+        this->probeInterval = this->settings.initialProbeInterval;
     }
 
-    void failed(Instant now)
+    void recordFailure(Instant now)
     {
-        ++this->failures;
-        if (!this->open && this->failures < this->settings.failuresToOpen)
+        ++this->consecutiveFailures;
+        if (!this->open && this->consecutiveFailures < this->settings.failuresToOpen)
             return;
-        if (this->open && now < this->openedAt + this->interval)
+        if (this->open && now < this->openedAt + this->probeInterval)
             return; // A call from before the opening; only a failed probe lengthens the interval.
         if (this->open)
-            this->interval = std::min(this->interval * 2, this->settings.maximumInterval);
+            this->probeInterval = std::min(this->probeInterval * 2, this->settings.maximumProbeInterval);
         this->open = true;
         this->openedAt = now;
-        this->nextProbe = now + this->interval;
+        this->nextProbe = now + this->probeInterval;
     }
 
     bool isOpen() const { return this->open; }
 
     // When the next probe may go out; in the past when the circuit is closed.
-    Instant probeAt() const { return this->nextProbe; }
+    Instant nextProbeAt() const { return this->nextProbe; }
 
 private:
-    const CircuitSettings settings;
+    const CircuitBreakerSettings settings;
     bool open = false;
-    std::uint32_t failures = 0; // In a row.
-    Milliseconds interval;
+    std::uint32_t consecutiveFailures = 0; // In a row.
+    Milliseconds probeInterval;
     Instant openedAt;
     Instant nextProbe;
 };
--- a/Libraries/LibSource/ClaimFinalizer.cpp
+++ b/Libraries/LibSource/ClaimFinalizer.cpp
@@ -5,30 +5,30 @@
 
 namespace Sagecrank {
 
-ClaimSettler::ClaimSettler(TablePort tablePort, PutGrouper &putGrouper, SettlerSettings settlerSettings,
-                           std::function<Instant()> nowHook, Settled settledHook)
+ClaimFinalizer::ClaimFinalizer(TablePort tablePort, PutBatcher &putBatcher, FinalizerSettings settlerSettings,
+                               std::function<Instant()> nowHook, FinishedCallback onFinishedHook)
     : table(std::move(tablePort))
-    , grouper(putGrouper)
+    , batcher(putBatcher)
     , settings(settlerSettings)
     , now(std::move(nowHook))
-    , settled(std::move(settledHook))
+    , onFinished(std::move(onFinishedHook))
 {
 }
 
-bool ClaimSettler::add(const ClaimRow &claim, ConditionalPut put)
+bool ClaimFinalizer::add(const ClaimRow &claim, ConditionalPut put)
 {
-    if (this->waiting.size() >= this->settings.maximumWaiting) {
-        ++this->counts.givenUp;
+    if (this->pending.size() >= this->settings.maximumWaiting) {
+        ++this->counts.abandoned;
         return false;
     }
     const Id id = ++this->lastId;
-    const Instant givesUpAt = this->now() + this->settings.giveUpAfter;
-    this->waiting.emplace(id, Waiting{claim, std::move(put), givesUpAt, this->settings.firstRetry});
+    const Instant giveUpAt = this->now() + this->settings.giveUpAfter;
+    this->pending.emplace(id, PendingPut{claim, std::move(put), giveUpAt, this->settings.firstRetry});
     this->send(id);
     return true;
 }
 
-void ClaimSettler::advance()
+void ClaimFinalizer::advance()
 {
     const Instant current = this->now();
     while (!this->retries.empty() && this->retries.begin()->first <= current) {
@@ -38,26 +38,26 @@
     }
 }
 
-std::optional<Instant> ClaimSettler::nextDue() const
+std::optional<Instant> ClaimFinalizer::nextDue() const
 {
     if (this->retries.empty())
         return std::nullopt;
     return this->retries.begin()->first;
 }
 
-void ClaimSettler::send(Id id)
+void ClaimFinalizer::send(Id id)
 {
-    const auto found = this->waiting.find(id);
-    if (found == this->waiting.end())
+    const auto found = this->pending.find(id);
+    if (found == this->pending.end())
         return;
-    this->grouper.add(found->second.put,
-                      [this, id, stillThere = std::weak_ptr(this->alive)](const Result<void> &result) {
-                          if (!stillThere.expired())
-                              this->answered(id, result);
+    this->batcher.add(found->second.put,
+                      [this, id, isAlive = std::weak_ptr(this->alive)](const Result<void> &result) {
+                          if (!isAlive.expired())
+                              this->handleResult(id, result);
                       });
 }
 
-void ClaimSettler::answered(Id id, const Result<void> &result)
+void ClaimFinalizer::handleResult(Id id, const Result<void> &result)
 {
     if (result)
         return this->finish(id, true);
@@ -68,53 +68,53 @@
 
 // The condition failed: either an earlier copy of the put took effect and its answer was lost, or the row is
 // another attempt's. Only the row says which.
-void ClaimSettler::readBack(Id id)
+void ClaimFinalizer::readBack(Id id)
 {
-    const auto found = this->waiting.find(id);
-    if (found == this->waiting.end())
+    const auto found = this->pending.find(id);
+    if (found == this->pending.end())
         return;
-    this->table.get(found->second.put.row.key, [this, id, stillThere = std::weak_ptr(this->alive)](
-                                                   const Result<std::optional<Row>> &row) {
-        if (!stillThere.expired())
-            this->judge(id, row);
-    });
+    this->table.get(found->second.put.row.key,
+                    [this, id, isAlive = std::weak_ptr(this->alive)](const Result<std::optional<Row>> &row) {
+                        if (!isAlive.expired())
+                            this->handleReadBack(id, row);
+                    });
 }
 
-void ClaimSettler::judge(Id id, const Result<std::optional<Row>> &row)
+void ClaimFinalizer::handleReadBack(Id id, const Result<std::optional<Row>> &row)
 {
-    const auto found = this->waiting.find(id);
-    if (found == this->waiting.end())
+    const auto found = this->pending.find(id);
+    if (found == this->pending.end())
         return;
     if (!row)
         return this->retryLater(id);
-    const std::optional<Row> &standing = row.assume_value();
-    if (found->second.put.condition.holdsFor(standing))
+    const std::optional<Row> &existing = row.assume_value();
+    if (found->second.put.condition.matches(existing))
         return this->retryLater(id); // It changed between the put and the read.
-    this->finish(id, standing == found->second.put.row);
+    this->finish(id, existing == found->second.put.row);
 }
 
-void ClaimSettler::retryLater(Id id)
+void ClaimFinalizer::retryLater(Id id)
 {
-    const auto found = this->waiting.find(id);
-    if (found == this->waiting.end())
+    const auto found = this->pending.find(id);
+    if (found == this->pending.end())
         return;
-    Waiting &one = found->second;
+    PendingPut &one = found->second;
     const Instant next = this->now() + one.backoff;
-    if (next >= one.givesUpAt)
+    if (next >= one.giveUpAt)
         return this->finish(id, false);
     one.backoff = std::min(one.backoff * 2, this->settings.maximumRetry);
     this->retries.insert({next, id});
 }
 
-void ClaimSettler::finish(Id id, bool inTable)
+void ClaimFinalizer::finish(Id id, bool inTable)
 {
-    const auto found = this->waiting.find(id);
-    if (found == this->waiting.end())
+    const auto found = this->pending.find(id);
+    if (found == this->pending.end())
         return;
     const std::string key = found->second.claim.key;
-    this->waiting.erase(found);
-    ++(inTable ? this->counts.settled : this->counts.givenUp);
-    this->settled(key, inTable);
+    this->pending.erase(found);
+    ++(inTable ? this->counts.written : this->counts.abandoned);
+    this->onFinished(key, inTable);
 }
 
 } // namespace Sagecrank
--- a/Libraries/LibSource/ClaimFinalizer.h
+++ b/Libraries/LibSource/ClaimFinalizer.h
@@ -11,7 +11,7 @@
 
 namespace Sagecrank {
 
-struct SettlerSettings
+struct FinalizerSettings
 {
     // Load: an outage while calls end. Each waiting put holds up to 4 KiB of body, so 1,024 are at most 4 MiB
     // of a node's 32 MB.
@@ -21,20 +21,20 @@
     Milliseconds maximumRetry{5000};
 };
 
-struct SettlerCounters
+struct FinalizerCounters
 {
-    std::uint64_t settled = 0;
-    std::uint64_t givenUp = 0; // Keys that answer "unknown" though more was known here.
+    std::uint64_t written = 0;
+    std::uint64_t abandoned = 0; // Keys that answer "unknown" though more was known here.
 };
 
-class ClaimSettler
+class ClaimFinalizer
 {
 public:
     // Whether the put is in the table, said once per put.
-    using Settled = std::function<void(const std::string &key, bool inTable)>;
+    using FinishedCallback = std::function<void(const std::string &key, bool inTable)>;
 
-    ClaimSettler(TablePort table, PutGrouper &grouper, SettlerSettings settings, std::function<Instant()> now,
-                 Settled settled);
+    ClaimFinalizer(TablePort table, PutBatcher &batcher, FinalizerSettings settings,
+                   std::function<Instant()> now, FinishedCallback onFinished);
 
     // `claim` names key and attempt; `put` is one of releasePut or recordPut. False when too many wait, which
     // counts as given up.
@@ -42,37 +42,40 @@
 
     void advance();
     std::optional<Instant> nextDue() const;
-    bool awaiting() const { return this->waiting.size() > this->retries.size(); } // An answer of the table.
-    std::size_t waitingCount() const { return this->waiting.size(); }
-    const SettlerCounters &counters() const { return this->counts; }
+    bool awaitingResponse() const
+    {
+        return this->pending.size() > this->retries.size();
+    } // An answer of the table.
+    std::size_t pendingCount() const { return this->pending.size(); }
+    const FinalizerCounters &counters() const { return this->counts; }
 
 private:
     using Id = std::uint64_t;
 
-    struct Waiting
+    struct PendingPut
     {
         ClaimRow claim;
         ConditionalPut put;
-        Instant givesUpAt;
+        Instant giveUpAt;
         Milliseconds backoff;
     };
 
     void send(Id id);
-    void answered(Id id, const Result<void> &result);
+    void handleResult(Id id, const Result<void> &result);
     void readBack(Id id);
-    void judge(Id id, const Result<std::optional<Row>> &row);
+    void handleReadBack(Id id, const Result<std::optional<Row>> &row);
     void retryLater(Id id);
     void finish(Id id, bool inTable);
 
     const TablePort table;
-    PutGrouper &grouper;
-    const SettlerSettings settings;
+    PutBatcher &batcher;
+    const FinalizerSettings settings;
     const std::function<Instant()> now;
-    const Settled settled;
-    std::map<Id, Waiting> waiting;            // At most maximumWaiting.
+    const FinishedCallback onFinished;
+    std::map<Id, PendingPut> pending;         // At most maximumWaiting.
     std::set<std::pair<Instant, Id>> retries; // Those that wait for their next try and are not under way.
     Id lastId = 0;
-    SettlerCounters counts;
+    FinalizerCounters counts;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
--- a/Libraries/LibSource/ClaimManager.h
+++ b/Libraries/LibSource/ClaimManager.h
@@ -17,7 +17,7 @@
 
 namespace Sagecrank {
 
-enum class ClaimVerdict : std::uint8_t {
+enum class ClaimDecision : std::uint8_t {
     Granted,     // The call may start now, and must end with finish, release or leaveUnknown.
     AlreadyDone, // An earlier attempt ran; its outcome comes along.
     InProgress,  // An earlier attempt may be running within its deadline.
@@ -25,36 +25,36 @@
     NotRun,      // This attempt did not run and never will; come back after retryAfter.
 };
 
-inline constexpr EnumNames<ClaimVerdict, 5> claimVerdictNames{{
-    {ClaimVerdict::Granted, "granted"},
-    {ClaimVerdict::AlreadyDone, "already_done"},
-    {ClaimVerdict::InProgress, "in_progress"},
-    {ClaimVerdict::Unknown, "unknown"},
-    {ClaimVerdict::NotRun, "not_run"},
+inline constexpr EnumNames<ClaimDecision, 5> claimDecisionNames{{
+    {ClaimDecision::Granted, "granted"},
+    {ClaimDecision::AlreadyDone, "already_done"},
+    {ClaimDecision::InProgress, "in_progress"},
+    {ClaimDecision::Unknown, "unknown"},
+    {ClaimDecision::NotRun, "not_run"},
 }};
 
-struct ClaimAnswer
+struct ClaimResponse
 {
-    ClaimVerdict verdict = ClaimVerdict::NotRun;
+    ClaimDecision decision = ClaimDecision::NotRun;
     RecordedOutcome outcome; // Only for AlreadyDone.
     Duration retryAfter{};   // Positive for InProgress and NotRun.
     std::string reason;      // For logs and the caller's header, such as "claims_table_down".
 };
 
-using ClaimCallback = std::function<void(const ClaimAnswer &)>;
+using ClaimCallback = std::function<void(const ClaimResponse &)>;
 
 struct ClaimSettings
 {
-    GrouperSettings grouping;
-    CircuitSettings circuit;
-    SettlerSettings settling;
+    BatcherSettings batching;
+    CircuitBreakerSettings circuit;
+    FinalizerSettings finalizing;
     // Load: a slow table under many keyed calls. Beyond it a claim is refused at once; at 2,000 claims a
     // second and a table that takes half a second, 1,000 wait.
     std::size_t maximumWaiting = 1024;
     Milliseconds firstRetry{20}; // After a lost answer; doubles up to maximumRetry.
     Milliseconds maximumRetry{500};
-    Milliseconds comeBackAfter{200};    // For a refused caller when nothing better is known.
-    std::chrono::hours rowLife{7 * 24}; // How long a key is remembered; later attempts would run anew.
+    Milliseconds defaultRetryAfter{200};    // For a refused caller when nothing better is known.
+    std::chrono::hours rowLifetime{7 * 24}; // How long a key is remembered; later attempts would run anew.
 };
 
 struct ClaimClocks
@@ -71,14 +71,14 @@
     std::uint64_t inProgress = 0;
     std::uint64_t unknown = 0;
     std::uint64_t notRun = 0;
-    GrouperCounters writes;
-    SettlerCounters settling;
+    BatcherCounters writes;
+    FinalizerCounters finalizing;
 };
 
-class ClaimKeeper
+class ClaimManager
 {
 public:
-    ClaimKeeper(TablePort table, ClaimSettings settings, ClaimClocks clocks);
+    ClaimManager(TablePort table, ClaimSettings settings, ClaimClocks clocks);
 
     // `attempt` is unique among all attempts of all nodes. The callback is called once: at once when the
     // answer is known here, otherwise from the table's callback or from advance(), and by the deadline.
@@ -93,7 +93,10 @@
     std::optional<Instant> nextWake() const;
 
     ClaimCounters counters() const;
-    std::size_t settlingCount() const { return this->settler.waitingCount(); } // Ends not yet in the table.
+    std::size_t pendingFinalizations() const
+    {
+        return this->finalizer.pendingCount();
+    } // Ends not yet in the table.
 
 private:
     enum class Phase : std::uint8_t { Claiming, Running, Recording, Releasing };
@@ -104,47 +107,47 @@
         ClaimRow claim;
         Phase phase = Phase::Claiming;
         Instant deadline;
-        ClaimCallback callback;              // Only in Claiming.
-        std::optional<std::string> previous; // Released attempt that is being taken over.
-        bool mayHaveLanded = false;          // A put left whose effect is not known.
-        bool underWay = false;               // A request is out; otherwise `retryAt` counts.
-        bool readFirst = false;              // The next request reads the row, rather than putting it.
+        ClaimCallback callback;                     // Only in Claiming.
+        std::optional<std::string> previousAttempt; // Released attempt that is being taken over.
+        bool mayHaveTakenEffect = false;            // A put left whose effect is not known.
+        bool inFlight = false;                      // A request is out; otherwise `retryAt` counts.
+        bool readFirst = false;                     // The next request reads the row, rather than putting it.
         Instant retryAt;
         Milliseconds backoff{};
         RecordedOutcome outcome; // Only in Recording.
     };
     using Entries = std::map<std::string, Entry>;
 
-    void answerFromHere(const Entry &entry, const ClaimCallback &callback);
-    void next(Entry &entry);
-    void put(Entry &entry);
-    void read(Entry &entry);
-    void putAnswered(const std::string &key, const std::string &attempt, const Result<void> &result);
-    void readAnswered(const std::string &key, const std::string &attempt,
-                      const Result<std::optional<Row>> &result);
-    void judge(Entry &entry, const std::optional<Row> &row);
-    void judgeOther(Entry &entry, const ClaimRow &standing);
-    void confirmed(Entry &entry);
+    void respondLocally(const Entry &entry, const ClaimCallback &callback);
+    void sendRequest(Entry &entry);
+    void sendPut(Entry &entry);
+    void sendRead(Entry &entry);
+    void handlePutResult(const std::string &key, const std::string &attempt, const Result<void> &result);
+    void handleReadResult(const std::string &key, const std::string &attempt,
+                          const Result<std::optional<Row>> &result);
+    void resolveFromRow(Entry &entry, const std::optional<Row> &row);
+    void resolveOtherAttempt(Entry &entry, const ClaimRow &existing);
+    void grant(Entry &entry);
     void retryLater(Entry &entry, bool readFirst);
     void refuse(Entry &entry, const char *reason);
-    void end(Entry &entry, const ClaimAnswer &answer);
+    void complete(Entry &entry, const ClaimResponse &answer);
     void startRelease(Entry &entry);
-    void settled(const std::string &key);
-    Entry *claiming(const std::string &key, const std::string &attempt);
-    Entry *running(const std::string &key, const std::string &attempt);
-    ClaimAnswer notRun(const char *reason) const;
-    void count(ClaimVerdict verdict);
-    void expire(Instant current);
+    void eraseEntry(const std::string &key);
+    Entry *findClaiming(const std::string &key, const std::string &attempt);
+    Entry *findRunning(const std::string &key, const std::string &attempt);
+    ClaimResponse notRunResponse(const char *reason) const;
+    void countDecision(ClaimDecision decision);
+    void expireDeadlines(Instant current);
 
     const TablePort table;
     const ClaimSettings settings;
     const ClaimClocks clocks;
-    PutGrouper grouper;
-    Circuit circuit;
+    PutBatcher batcher;
+    CircuitBreaker circuit;
     Entries entries;
     std::set<std::pair<Instant, std::string>> deadlines; // Of entries in Claiming.
     std::set<std::pair<Instant, std::string>> retries;   // Of entries in Claiming with no request out.
-    ClaimSettler settler;
+    ClaimFinalizer finalizer;
     ClaimCounters counts;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
--- a/Libraries/LibSource/ClaimRow.cpp
+++ b/Libraries/LibSource/ClaimRow.cpp
@@ -6,11 +6,11 @@
 namespace {
 
 // Named claim_state and not state, because the table service reserves that word.
-constexpr auto stateName = "claim_state";
+constexpr auto stateAttribute = "claim_state";
 
-Attributes heldBy(const std::string &attempt, ClaimState state)
+Attributes attemptInState(const std::string &attempt, ClaimState state)
 {
-    return {{"attempt", attempt}, {stateName, std::string(claimStateNames.name(state))}};
+    return {{"attempt", attempt}, {stateAttribute, std::string(claimStateNames.name(state))}};
 }
 
 // Whether the text is UTF-8, which is all that a text attribute can hold.
@@ -47,7 +47,7 @@
 
 Row claimRow(const ClaimRow &claim)
 {
-    Row row{claimKey(claim.key), heldBy(claim.attempt, claim.state)};
+    Row row{claimKey(claim.key), attemptInState(claim.attempt, claim.state)};
     row.attributes["deadline"] = claim.deadline;
     row.attributes["expires_at"] = claim.expiresAt;
     if (claim.state == ClaimState::Done) {
@@ -62,7 +62,7 @@
 Result<ClaimRow> parseClaim(const Row &row)
 {
     const std::string *attempt = row.text("attempt");
-    const std::string *stateText = row.text(stateName);
+    const std::string *stateText = row.text(stateAttribute);
     const auto state = stateText == nullptr ? std::nullopt : claimStateNames.value(*stateText);
     if (attempt == nullptr || !state)
         return makeError(ErrorKind::InvalidInput, "read claim", row.key.partition,
@@ -85,9 +85,9 @@
     ClaimRow next = claim;
     next.state = ClaimState::Claimed;
     // The row as this very put left it is allowed, so that the put may be repeated when its answer is lost.
-    PutCondition condition{!previous, {heldBy(claim.attempt, ClaimState::Claimed)}};
+    PutCondition condition{!previous, {attemptInState(claim.attempt, ClaimState::Claimed)}};
     if (previous)
-        condition.anyOf.push_back(heldBy(*previous, ClaimState::Released));
+        condition.anyOf.push_back(attemptInState(*previous, ClaimState::Released));
     return {claimRow(next), condition};
 }
 
@@ -105,13 +105,13 @@
     ClaimRow next = claim;
     next.state = ClaimState::Done;
     next.outcome = std::move(outcome);
-    if (next.outcome.body.size() > maximumRecordedBody || !isUtf8(next.outcome.body)) {
+    if (next.outcome.body.size() > maximumRecordedBodyBytes || !isUtf8(next.outcome.body)) {
         next.outcome.body.clear();
         next.outcome.bodyKept = false;
     }
     if (!isUtf8(next.outcome.contentType))
         next.outcome.contentType.clear();
-    return {claimRow(next), {false, {heldBy(claim.attempt, ClaimState::Claimed)}}};
+    return {claimRow(next), {false, {attemptInState(claim.attempt, ClaimState::Claimed)}}};
 }
 
 } // namespace Sagecrank
--- a/Libraries/LibSource/ClaimRow.h
+++ b/Libraries/LibSource/ClaimRow.h
@@ -30,7 +30,7 @@
 }};
 
 // Larger bodies are not kept: a row of the table is metered by the kilobyte.
-inline constexpr std::size_t maximumRecordedBody = 4096;
+inline constexpr std::size_t maximumRecordedBodyBytes = 4096;
 
 // How the attempt that ran ended, for later attempts with the same key.
 struct RecordedOutcome
--- a/Libraries/LibSource/Head.cpp
+++ b/Libraries/LibSource/Head.cpp
@@ -20,7 +20,7 @@
     return makeError(ErrorKind::InvalidInput, step, "table", "attribute " + attribute + " is missing or bad");
 }
 
-Result<std::uint64_t> needNumber(const Row &row, const char *step, const std::string &name)
+Result<std::uint64_t> requireNumber(const Row &row, const char *step, const std::string &name)
 {
     const std::uint64_t *value = row.number(name);
     if (value == nullptr)
@@ -28,7 +28,7 @@
     return *value;
 }
 
-Result<std::string> needText(const Row &row, const char *step, const std::string &name)
+Result<std::string> requireText(const Row &row, const char *step, const std::string &name)
 {
     const std::string *value = row.text(name);
     if (value == nullptr)
@@ -71,9 +71,9 @@
     if (!row)
         return Head{};
     Head head;
-    head.version = TRY(needNumber(*row, step, "version"));
-    head.digest = TRY(digestFromHex(TRY(needText(*row, step, "digest"))));
-    head.publishId = TRY(needText(*row, step, "publish_id"));
+    head.version = TRY(requireNumber(*row, step, "version"));
+    head.digest = TRY(digestFromHex(TRY(requireText(*row, step, "digest"))));
+    head.publishId = TRY(requireText(*row, step, "publish_id"));
     return head;
 }
 
@@ -81,12 +81,12 @@
 {
     constexpr auto step = "read history row";
     HistoryEntry entry;
-    entry.version = TRY(needNumber(row, step, "version"));
-    entry.digest = TRY(digestFromHex(TRY(needText(row, step, "digest"))));
-    entry.publishId = TRY(needText(row, step, "publish_id"));
-    entry.operatorName = TRY(needText(row, step, "operator"));
-    entry.acceptedAt = TRY(needNumber(row, step, "accepted_at"));
-    entry.rolledBackTo = TRY(needNumber(row, step, "rolled_back_to"));
+    entry.version = TRY(requireNumber(row, step, "version"));
+    entry.digest = TRY(digestFromHex(TRY(requireText(row, step, "digest"))));
+    entry.publishId = TRY(requireText(row, step, "publish_id"));
+    entry.operatorName = TRY(requireText(row, step, "operator"));
+    entry.acceptedAt = TRY(requireNumber(row, step, "accepted_at"));
+    entry.rolledBackTo = TRY(requireNumber(row, step, "rolled_back_to"));
     return entry;
 }
 
--- a/Libraries/LibSource/HeadWriter.h
+++ b/Libraries/LibSource/HeadWriter.h
@@ -15,33 +15,33 @@
 
 namespace Sagecrank {
 
-enum class PublishVerdict : std::uint8_t {
+enum class PublishOutcome : std::uint8_t {
     Accepted, // The head moved to this version; it is in force within seconds and never reverts.
     Conflict, // Another version was accepted first; this one never will be.
     Failed,   // Nothing took effect and nothing will.
     Unknown,  // Not known, and it may still take effect. History tells by publish id.
 };
 
-inline constexpr EnumNames<PublishVerdict, 4> publishVerdictNames{{
-    {PublishVerdict::Accepted, "accepted"},
-    {PublishVerdict::Conflict, "conflict"},
-    {PublishVerdict::Failed, "failed"},
-    {PublishVerdict::Unknown, "unknown"},
+inline constexpr EnumNames<PublishOutcome, 4> publishOutcomeNames{{
+    {PublishOutcome::Accepted, "accepted"},
+    {PublishOutcome::Conflict, "conflict"},
+    {PublishOutcome::Failed, "failed"},
+    {PublishOutcome::Unknown, "unknown"},
 }};
 
-struct PublishReport
+struct PublishResult
 {
-    PublishVerdict verdict = PublishVerdict::Failed;
+    PublishOutcome outcome = PublishOutcome::Failed;
     std::uint64_t version = 0; // Accepted: the new one. Otherwise the one that was tried, or zero.
     std::string publishId;
     HistoryEntry winner; // Conflict: who won. Its operator is empty when only the version is known.
     Error error;         // Failed and Unknown: why.
 };
 
-using PublishCallback = std::function<void(const PublishReport &)>;
+using PublishCallback = std::function<void(const PublishResult &)>;
 
 // Stays alive until its callback has been called. `next` is the version after `from`.
-void moveHead(TablePort table, Later later, RetryPlan plan, const Head &from, const HistoryEntry &next,
-              PublishCallback callback);
+void advanceHead(TablePort table, Scheduler later, RetryPolicy policy, const Head &from,
+                 const HistoryEntry &next, PublishCallback callback);
 
 } // namespace Sagecrank
--- a/Libraries/LibSource/ObjectWriter.cpp
+++ b/Libraries/LibSource/ObjectWriter.cpp
@@ -9,15 +9,16 @@
 
 // At 5 ms a write, 8 under way are 1,600 writes a second at most, and the platform's own limit slows the
 // rest.
-constexpr std::size_t maximumUnderWay = 8;
+constexpr std::size_t maximumInFlightWrites = 8;
 
-class ObjectRun : public std::enable_shared_from_this<ObjectRun>
+class ObjectWriteOperation : public std::enable_shared_from_this<ObjectWriteOperation>
 {
 public:
-    ObjectRun(ObjectPort port, Later laterHook, RetryPlan retryPlan, NamedObjects objects, WriteCallback done)
+    ObjectWriteOperation(ObjectPort port, Scheduler schedulerHook, RetryPolicy retryPolicy,
+                         NamedObjects objects, WriteCallback done)
         : objectPort(std::move(port))
-        , later(std::move(laterHook))
-        , plan(retryPlan)
+        , later(std::move(schedulerHook))
+        , policy(retryPolicy)
         , remaining(std::move(objects))
         , callback(std::move(done))
     {
@@ -25,9 +26,9 @@
 
     void next()
     {
-        while (this->underWay < maximumUnderWay && !this->remaining.empty() && !this->failure)
+        while (this->inFlight < maximumInFlightWrites && !this->remaining.empty() && !this->failure)
             this->write(this->remaining.extract(this->remaining.begin()));
-        if (this->underWay > 0 || !this->callback)
+        if (this->inFlight > 0 || !this->callback)
             return;
         const WriteCallback done = std::move(this->callback);
         this->callback = nullptr;
@@ -39,14 +40,14 @@
 private:
     void write(NamedObjects::node_type object)
     {
-        ++this->underWay;
+        ++this->inFlight;
         const auto shared = std::make_shared<NamedObjects::node_type>(std::move(object));
         const auto put = [self = this->shared_from_this(), shared](WriteCallback answer) {
             self->objectPort.put(shared->key(), shared->mapped(), std::move(answer));
         };
-        withRetries<void>(this->plan, this->later, put,
+        withRetries<void>(this->policy, this->later, put,
                           [self = this->shared_from_this()](Result<void> result) {
-                              --self->underWay;
+                              --self->inFlight;
                               if (!result && !self->failure)
                                   self->failure = result.assume_error();
                               self->next();
@@ -54,20 +55,21 @@
     }
 
     const ObjectPort objectPort;
-    const Later later;
-    const RetryPlan plan;
+    const Scheduler later;
+    const RetryPolicy policy;
     NamedObjects remaining;
     WriteCallback callback; // Empty once it has been called.
-    std::size_t underWay = 0;
+    std::size_t inFlight = 0;
     std::optional<Error> failure;
 };
 
 } // namespace
 
-void writeObjects(const ObjectPort &objects, const Later &later, RetryPlan plan, NamedObjects all,
+void writeObjects(const ObjectPort &objects, const Scheduler &later, RetryPolicy policy, NamedObjects all,
                   WriteCallback callback)
 {
-    std::make_shared<ObjectRun>(objects, later, plan, std::move(all), std::move(callback))->next();
+    std::make_shared<ObjectWriteOperation>(objects, later, policy, std::move(all), std::move(callback))
+        ->next();
 }
 
 } // namespace Sagecrank
--- a/Libraries/LibSource/ObjectWriter.h
+++ b/Libraries/LibSource/ObjectWriter.h
@@ -13,7 +13,7 @@
 
 // Each object is tried as the plan says; the first that fails for good is the answer. Writing an object twice
 // does no harm, since its name says its content.
-void writeObjects(const ObjectPort &objects, const Later &later, RetryPlan plan, NamedObjects all,
+void writeObjects(const ObjectPort &objects, const Scheduler &later, RetryPolicy policy, NamedObjects all,
                   WriteCallback callback);
 
 } // namespace Sagecrank
--- a/Libraries/LibSource/Ports.cpp
+++ b/Libraries/LibSource/Ports.cpp
@@ -17,19 +17,19 @@
     return found == this->attributes.end() ? nullptr : std::get_if<std::uint64_t>(&found->second);
 }
 
-bool PutCondition::holdsFor(const std::optional<Row> &standing) const
+bool PutCondition::matches(const std::optional<Row> &existing) const
 {
     if (this->unconditional())
         return true;
-    if (!standing)
+    if (!existing)
         return this->absent;
-    const auto matches = [&](const Attributes &wanted) {
+    const auto attributesMatch = [&](const Attributes &wanted) {
         return std::all_of(wanted.begin(), wanted.end(), [&](const auto &entry) {
-            const auto found = standing->attributes.find(entry.first);
-            return found != standing->attributes.end() && found->second == entry.second;
+            const auto found = existing->attributes.find(entry.first);
+            return found != existing->attributes.end() && found->second == entry.second;
         });
     };
-    return std::any_of(this->anyOf.begin(), this->anyOf.end(), matches);
+    return std::any_of(this->anyOf.begin(), this->anyOf.end(), attributesMatch);
 }
 
 } // namespace Sagecrank
--- a/Libraries/LibSource/Ports.h
+++ b/Libraries/LibSource/Ports.h
@@ -54,7 +54,7 @@
     std::vector<Attributes> anyOf; // Every attribute of one of these sets has the value given.
 
     bool unconditional() const { return !this->absent && this->anyOf.empty(); }
-    bool holdsFor(const std::optional<Row> &standing) const; // For stand-ins of a table.
+    bool matches(const std::optional<Row> &existing) const; // For stand-ins of a table.
 
     bool operator==(const PutCondition &) const = default;
 };
@@ -77,14 +77,14 @@
 using WriteCallback = std::function<void(Result<void>)>;
 
 // What became of each put of a transaction that took no effect.
-enum class PutVerdict : std::uint8_t {
+enum class PutOutcome : std::uint8_t {
     Applied,
     NotApplied,      // Another put's failure cancelled it; it may be sent again.
     ConditionFailed, // Its own condition did not hold.
 };
 
 // Applied for all, or a cancelled transaction with at least one ConditionFailed or NotApplied.
-using TransactionResult = std::vector<PutVerdict>;
+using TransactionResult = std::vector<PutOutcome>;
 using TransactionCallback = std::function<void(Result<TransactionResult>)>;
 
 // DynamoDB takes at most 100 items in one transaction.
--- a/Libraries/LibSource/Publisher.cpp
+++ b/Libraries/LibSource/Publisher.cpp
@@ -12,16 +12,16 @@
 
 namespace {
 
-class PublishRun : public std::enable_shared_from_this<PublishRun>
+class PublishOperation : public std::enable_shared_from_this<PublishOperation>
 {
 public:
-    PublishRun(TablePort table, ObjectPort objects, Later later, RetryPlan plan, PublishFacts facts,
-               PublishCallback callback)
+    PublishOperation(TablePort table, ObjectPort objects, Scheduler later, RetryPolicy policy,
+                     PublishRequest request, PublishCallback callback)
         : tablePort(std::move(table))
         , objectPort(std::move(objects))
-        , laterHook(std::move(later))
-        , retryPlan(plan)
-        , publishFacts(std::move(facts))
+        , schedulerHook(std::move(later))
+        , retryPolicy(policy)
+        , publishRequest(std::move(request))
         , done(std::move(callback))
     {
     }
@@ -45,48 +45,50 @@
     void rollback(std::uint64_t to)
     {
         this->rolledBackTo = to;
-        this->readHead([self = this->shared_from_this()] { self->readOldEntry(); });
+        this->readHead([self = this->shared_from_this()] { self->readTargetEntry(); });
     }
 
 private:
     void fail(const Error &error)
     {
-        this->done({PublishVerdict::Failed, 0, this->publishFacts.publishId, {}, error});
+        this->done({PublishOutcome::Failed, 0, this->publishRequest.publishId, {}, error});
     }
 
     // Runs `read`, repeated as the plan says, and goes on with its value; an error ends the publish, as
     // nothing has taken effect so far.
     template <typename T>
-    void reading(std::function<void(std::function<void(Result<T>)>)> read,
-                 std::function<void(const T &)> goOn)
+    void readThen(std::function<void(std::function<void(Result<T>)>)> read,
+                  std::function<void(const T &)> proceed)
     {
-        withRetries<T>(this->retryPlan, this->laterHook, read,
-                       [self = this->shared_from_this(), goOn = std::move(goOn)](const Result<T> &result) {
-                           if (!result)
-                               return self->fail(result.assume_error());
-                           goOn(result.assume_value());
-                       });
+        withRetries<T>(
+            this->retryPolicy, this->schedulerHook, read,
+            [self = this->shared_from_this(), proceed = std::move(proceed)](const Result<T> &result) {
+                if (!result)
+                    return self->fail(result.assume_error());
+                proceed(result.assume_value());
+            });
     }
 
-    void readHead(std::function<void()> goOn)
+    void readHead(std::function<void()> proceed)
     {
-        this->reading<Head>(
+        this->readThen<Head>(
             [reader = HeadReader(this->tablePort)](auto callback) { reader.read(std::move(callback)); },
-            [self = this->shared_from_this(), goOn = std::move(goOn)](const Head &head) {
+            [self = this->shared_from_this(), proceed = std::move(proceed)](const Head &head) {
                 self->from = head;
-                if (self->publishFacts.expected && *self->publishFacts.expected != head.version)
-                    return self->loseTo(head.version);
-                goOn();
+                if (self->publishRequest.expectedVersion
+                    && *self->publishRequest.expectedVersion != head.version)
+                    return self->reportConflict(head.version);
+                proceed();
             });
     }
 
     // The operator's files were made from an older version than the one in force.
-    void loseTo(std::uint64_t version)
+    void reportConflict(std::uint64_t version)
     {
         HistoryEntry unknown;
         unknown.version = version;
         const auto report = [self = this->shared_from_this()](const HistoryEntry &winner) {
-            self->done({PublishVerdict::Conflict, 0, self->publishFacts.publishId, winner, {}});
+            self->done({PublishOutcome::Conflict, 0, self->publishRequest.publishId, winner, {}});
         };
         if (version == 0)
             return report(unknown);
@@ -107,7 +109,7 @@
                 give(parseHistory(*row.assume_value()));
             });
         };
-        withRetries<HistoryEntry>(this->retryPlan, this->laterHook, read, std::move(callback));
+        withRetries<HistoryEntry>(this->retryPolicy, this->schedulerHook, read, std::move(callback));
     }
 
     // What the version in force holds need not be written again. If it cannot be read, all is written.
@@ -119,7 +121,7 @@
             reader.manifest(head, std::move(callback));
         };
         withRetries<VersionManifest>(
-            this->retryPlan, this->laterHook, read,
+            this->retryPolicy, this->schedulerHook, read,
             [self = this->shared_from_this()](const Result<VersionManifest> &manifest) {
                 if (!manifest)
                     return self->writeSites();
@@ -180,7 +182,7 @@
         this->writeVersion(std::move(all));
     }
 
-    void readOldEntry()
+    void readTargetEntry()
     {
         if (*this->rolledBackTo >= this->from.version)
             return this->fail(makeError(ErrorKind::InvalidInput, "roll back", "",
@@ -190,49 +192,49 @@
                         [self = this->shared_from_this()](const Result<HistoryEntry> &entry) {
                             if (!entry)
                                 return self->fail(entry.assume_error());
-                            self->readOldManifest(entry.assume_value());
+                            self->readTargetManifest(entry.assume_value());
                         });
     }
 
-    void readOldManifest(const HistoryEntry &entry)
+    void readTargetManifest(const HistoryEntry &entry)
     {
         const Head old{entry.version, entry.digest, entry.publishId};
-        this->reading<VersionManifest>([reader = VersionReader(this->objectPort),
-                                        old](auto callback) { reader.manifest(old, std::move(callback)); },
-                                       [self = this->shared_from_this()](const VersionManifest &manifest) {
-                                           self->manifest.sites = manifest.sites;
-                                           self->writeVersion({});
-                                       });
+        this->readThen<VersionManifest>([reader = VersionReader(this->objectPort),
+                                         old](auto callback) { reader.manifest(old, std::move(callback)); },
+                                        [self = this->shared_from_this()](const VersionManifest &manifest) {
+                                            self->manifest.sites = manifest.sites;
+                                            self->writeVersion({});
+                                        });
     }
 
     void writeVersion(NamedObjects all)
     {
         this->manifest.version = this->from.version + 1;
-        this->manifest.publishId = this->publishFacts.publishId;
+        this->manifest.publishId = this->publishRequest.publishId;
         ObjectBytes bytes = encodeVersionManifest(this->manifest);
         const Digest digest = digestOf(bytes);
         all.emplace(manifestObjectName(this->manifest.version, this->manifest.publishId), std::move(bytes));
-        writeObjects(this->objectPort, this->laterHook, this->retryPlan, std::move(all),
+        writeObjects(this->objectPort, this->schedulerHook, this->retryPolicy, std::move(all),
                      [self = this->shared_from_this(), digest](const Result<void> &written) {
                          if (!written)
                              return self->fail(written.assume_error());
-                         self->move(digest);
+                         self->advance(digest);
                      });
     }
 
-    void move(const Digest &digest)
+    void advance(const Digest &digest)
     {
-        const HistoryEntry next{this->manifest.version,        digest,
-                                this->publishFacts.publishId,  this->publishFacts.operatorName,
-                                this->publishFacts.acceptedAt, this->rolledBackTo.value_or(0)};
-        moveHead(this->tablePort, this->laterHook, this->retryPlan, this->from, next, this->done);
+        const HistoryEntry next{this->manifest.version,          digest,
+                                this->publishRequest.publishId,  this->publishRequest.operatorName,
+                                this->publishRequest.acceptedAt, this->rolledBackTo.value_or(0)};
+        advanceHead(this->tablePort, this->schedulerHook, this->retryPolicy, this->from, next, this->done);
     }
 
     const TablePort tablePort;
     const ObjectPort objectPort;
-    const Later laterHook;
-    const RetryPlan retryPlan;
-    const PublishFacts publishFacts;
+    const Scheduler schedulerHook;
+    const RetryPolicy retryPolicy;
+    const PublishRequest publishRequest;
     const PublishCallback done;
     std::vector<SiteConfiguration> sites; // Empty for a rollback.
     std::optional<std::uint64_t> rolledBackTo;
@@ -244,26 +246,27 @@
 
 } // namespace
 
-Publisher::Publisher(TablePort tablePort, ObjectPort objectPort, Later laterHook, RetryPlan retryPlan)
+Publisher::Publisher(TablePort tablePort, ObjectPort objectPort, Scheduler schedulerHook,
+                     RetryPolicy retryPolicy)
     : table(std::move(tablePort))
     , objects(std::move(objectPort))
-    , later(std::move(laterHook))
-    , plan(retryPlan)
+    , later(std::move(schedulerHook))
+    , policy(retryPolicy)
 {
 }
 
-void Publisher::publish(std::vector<RenderedSite> sites, const PublishFacts &facts,
+void Publisher::publish(std::vector<RenderedSite> sites, const PublishRequest &request,
                         PublishCallback callback) const
 {
-    std::make_shared<PublishRun>(this->table, this->objects, this->later, this->plan, facts,
-                                 std::move(callback))
+    std::make_shared<PublishOperation>(this->table, this->objects, this->later, this->policy, request,
+                                       std::move(callback))
         ->publish(std::move(sites));
 }
 
-void Publisher::rollback(std::uint64_t to, const PublishFacts &facts, PublishCallback callback) const
+void Publisher::rollback(std::uint64_t to, const PublishRequest &request, PublishCallback callback) const
 {
-    std::make_shared<PublishRun>(this->table, this->objects, this->later, this->plan, facts,
-                                 std::move(callback))
+    std::make_shared<PublishOperation>(this->table, this->objects, this->later, this->policy, request,
+                                       std::move(callback))
         ->rollback(to);
 }
 
--- a/Libraries/LibSource/Publisher.h
+++ b/Libraries/LibSource/Publisher.h
@@ -16,10 +16,10 @@
 namespace Sagecrank {
 
 // Who publishes, and over what.
-struct PublishFacts
+struct PublishRequest
 {
     std::optional<std::uint64_t>
-        expected;          // The version the operator saw; none means the one read at the start.
+        expectedVersion;   // The version the operator saw; none means the one read at the start.
     std::string publishId; // Unique among all publishes.
     std::string operatorName;
     std::uint64_t acceptedAt = 0; // Seconds since 1970.
@@ -28,17 +28,18 @@
 class Publisher
 {
 public:
-    Publisher(TablePort table, ObjectPort objects, Later later, RetryPlan plan = {});
+    Publisher(TablePort table, ObjectPort objects, Scheduler later, RetryPolicy policy = {});
 
     // Both call back once. The publisher itself may go away before that.
-    void publish(std::vector<RenderedSite> sites, const PublishFacts &facts, PublishCallback callback) const;
-    void rollback(std::uint64_t to, const PublishFacts &facts, PublishCallback callback) const;
+    void publish(std::vector<RenderedSite> sites, const PublishRequest &request,
+                 PublishCallback callback) const;
+    void rollback(std::uint64_t to, const PublishRequest &request, PublishCallback callback) const;
 
 private:
     const TablePort table;
     const ObjectPort objects;
-    const Later later;
-    const RetryPlan plan;
+    const Scheduler later;
+    const RetryPolicy policy;
 };
 
 } // namespace Sagecrank
--- a/Libraries/LibSource/PutBatcher.cpp
+++ b/Libraries/LibSource/PutBatcher.cpp
@@ -5,114 +5,114 @@
 
 namespace Sagecrank {
 
-PutGrouper::PutGrouper(TablePort tablePort, GrouperSettings grouperSettings, std::function<Instant()> nowHook)
+PutBatcher::PutBatcher(TablePort tablePort, BatcherSettings batcherSettings, std::function<Instant()> nowHook)
     : table(std::move(tablePort))
-    , settings(grouperSettings)
+    , settings(batcherSettings)
     , now(std::move(nowHook))
 {
 }
 
-void PutGrouper::add(ConditionalPut put, WriteCallback callback)
+void PutBatcher::add(ConditionalPut put, WriteCallback callback)
 {
     ++this->counts.puts;
-    if (this->holds(put.row.key))
-        this->send();
-    if (this->waiting.empty())
+    if (this->containsKey(put.row.key))
+        this->flush();
+    if (this->pending.empty())
         this->due = this->now() + this->settings.window;
-    this->waiting.push_back({std::move(put), std::move(callback)});
-    const bool few = this->requestsOut < this->settings.requestsBeforeGrouping;
-    if (few || this->waiting.size() >= this->settings.maximumGroup)
-        this->send();
+    this->pending.push_back({std::move(put), std::move(callback)});
+    const bool few = this->requestsInFlight < this->settings.requestsBeforeBatching;
+    if (few || this->pending.size() >= this->settings.maximumBatchSize)
+        this->flush();
 }
 
-void PutGrouper::advance()
+void PutBatcher::advance()
 {
-    if (!this->waiting.empty() && this->now() >= this->due)
-        this->send();
+    if (!this->pending.empty() && this->now() >= this->due)
+        this->flush();
 }
 
-std::optional<Instant> PutGrouper::nextDue() const
+std::optional<Instant> PutBatcher::nextDue() const
 {
-    if (this->waiting.empty())
+    if (this->pending.empty())
         return std::nullopt;
     return this->due;
 }
 
-void PutGrouper::send()
+void PutBatcher::flush()
 {
-    Group group = std::move(this->waiting);
-    this->waiting.clear();
-    if (group.size() == 1)
-        this->sendAlone(std::move(group.front()));
+    Batch batch = std::move(this->pending);
+    this->pending.clear();
+    if (batch.size() == 1)
+        this->sendSingle(std::move(batch.front()));
     else
-        this->sendTogether(std::move(group));
+        this->sendBatch(std::move(batch));
 }
 
-void PutGrouper::sendAlone(Waiting one)
+void PutBatcher::sendSingle(PendingPut one)
 {
     ++this->counts.requests;
     ++this->counts.items;
-    ++this->requestsOut;
+    ++this->requestsInFlight;
     this->table.putIf(one.put, [this, callback = std::move(one.callback),
-                                stillThere = std::weak_ptr(this->alive)](Result<void> result) {
-        if (stillThere.expired())
+                                isAlive = std::weak_ptr(this->alive)](Result<void> result) {
+        if (isAlive.expired())
             return;
-        this->requestEnded();
+        this->handleRequestEnd();
         callback(std::move(result));
     });
 }
 
-void PutGrouper::requestEnded()
+void PutBatcher::handleRequestEnd()
 {
-    --this->requestsOut;
-    if (!this->waiting.empty() && this->requestsOut < this->settings.requestsBeforeGrouping)
-        this->send();
+    --this->requestsInFlight;
+    if (!this->pending.empty() && this->requestsInFlight < this->settings.requestsBeforeBatching)
+        this->flush();
 }
 
-void PutGrouper::sendTogether(Group group)
+void PutBatcher::sendBatch(Batch batch)
 {
     ++this->counts.requests;
-    ++this->requestsOut;
-    this->counts.items += group.size();
+    ++this->requestsInFlight;
+    this->counts.items += batch.size();
     std::vector<ConditionalPut> puts;
-    puts.reserve(group.size());
-    for (const Waiting &one : group)
+    puts.reserve(batch.size());
+    for (const PendingPut &one : batch)
         puts.push_back(one.put);
-    const auto shared = std::make_shared<Group>(std::move(group));
-    this->table.transact(puts, [this, shared, stillThere = std::weak_ptr(this->alive)](
-                                   const Result<TransactionResult> &result) {
-        if (stillThere.expired())
-            return;
-        this->requestEnded();
-        this->settle(*shared, result);
-    });
+    const auto shared = std::make_shared<Batch>(std::move(batch));
+    this->table.transact(
+        puts, [this, shared, isAlive = std::weak_ptr(this->alive)](const Result<TransactionResult> &result) {
+            if (isAlive.expired())
+                return;
+            this->handleRequestEnd();
+            this->completeBatch(*shared, result);
+        });
 }
 
 // One claim whose key is taken cancels the transaction of its neighbours. They did nothing wrong and are sent
 // again alone, where no other put can cancel them.
-void PutGrouper::settle(Group &group, const Result<TransactionResult> &result)
+void PutBatcher::completeBatch(Batch &batch, const Result<TransactionResult> &result)
 {
-    const std::weak_ptr stillThere = this->alive;
-    for (std::size_t i = 0; i < group.size(); ++i) {
-        if (stillThere.expired())
+    const std::weak_ptr isAlive = this->alive;
+    for (std::size_t i = 0; i < batch.size(); ++i) {
+        if (isAlive.expired())
             return;
-        Waiting &one = group[i];
+        PendingPut &one = batch[i];
         if (!result)
             one.callback(result.assume_error());
-        else if (result.assume_value()[i] == PutVerdict::Applied)
+        else if (result.assume_value()[i] == PutOutcome::Applied)
             one.callback(success());
-        else if (result.assume_value()[i] == PutVerdict::NotApplied)
-            this->sendAlone(std::move(one));
+        else if (result.assume_value()[i] == PutOutcome::NotApplied)
+            this->sendSingle(std::move(one));
         else
             one.callback(
                 makeError(ErrorKind::Conflict, "put row", one.put.row.key.partition, "condition failed"));
     }
 }
 
-bool PutGrouper::holds(const RowKey &key) const
+bool PutBatcher::containsKey(const RowKey &key) const
 {
-    return std::any_of(this->waiting.begin(), this->waiting.end(),
-                       [&](const Waiting &one) { return one.put.row.key == key; });
+    return std::any_of(this->pending.begin(), this->pending.end(),
+                       [&](const PendingPut &one) { return one.put.row.key == key; });
 }
 
 } // namespace Sagecrank
--- a/Libraries/LibSource/PutBatcher.h
+++ b/Libraries/LibSource/PutBatcher.h
@@ -13,59 +13,59 @@
 
 namespace Sagecrank {
 
-struct GrouperSettings
+struct BatcherSettings
 {
     // Load: a burst of keyed calls at one node. Up to here each put goes alone and at once, because a group
     // saves requests but no rows, and the platform meters rows: measured, a window for every claim cost
     // 2 ms at the median and saved nothing at today's rates. Above it the requests themselves are the harm.
-    std::size_t requestsBeforeGrouping = 16;
+    std::size_t requestsBeforeBatching = 16;
     // The longest that a put waits for its group; about one round trip to the table.
     Milliseconds window{2};
     // One bad item cancels a whole transaction, and the larger the group the more often that happens.
-    std::size_t maximumGroup = 25;
+    std::size_t maximumBatchSize = 25;
 };
 
-struct GrouperCounters
+struct BatcherCounters
 {
     std::uint64_t puts = 0;     // Given to the grouper.
     std::uint64_t requests = 0; // Sent to the table.
     std::uint64_t items = 0;    // Puts within those requests, repeats included.
 };
 
-class PutGrouper
+class PutBatcher
 {
 public:
-    PutGrouper(TablePort table, GrouperSettings settings, std::function<Instant()> now);
+    PutBatcher(TablePort table, BatcherSettings settings, std::function<Instant()> now);
 
     // The callback is as that of TablePort::putIf and comes from the table's callback.
     void add(ConditionalPut put, WriteCallback callback);
 
     void advance();
     std::optional<Instant> nextDue() const;
-    const GrouperCounters &counters() const { return this->counts; }
+    const BatcherCounters &counters() const { return this->counts; }
 
 private:
-    struct Waiting
+    struct PendingPut
     {
         ConditionalPut put;
         WriteCallback callback;
     };
-    using Group = std::vector<Waiting>;
+    using Batch = std::vector<PendingPut>;
 
-    void send();
-    void requestEnded();
-    void sendAlone(Waiting one);
-    void sendTogether(Group group);
-    void settle(Group &group, const Result<TransactionResult> &result);
-    bool holds(const RowKey &key) const;
+    void flush();
+    void handleRequestEnd();
+    void sendSingle(PendingPut one);
+    void sendBatch(Batch batch);
+    void completeBatch(Batch &batch, const Result<TransactionResult> &result);
+    bool containsKey(const RowKey &key) const;
 
     const TablePort table;
-    const GrouperSettings settings;
+    const BatcherSettings settings;
     const std::function<Instant()> now;
-    Group waiting; // Invariant: no key twice; a transaction may name an item only once.
+    Batch pending; // Invariant: no key twice; a transaction may name an item only once.
     Instant due;   // Of the oldest in `waiting`.
-    std::size_t requestsOut = 0;
-    GrouperCounters counts;
+    std::size_t requestsInFlight = 0;
+    BatcherCounters counts;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true); // Callbacks that come later see it gone.
 };
 
--- a/Libraries/LibSource/Retry.h
+++ b/Libraries/LibSource/Retry.h
@@ -13,32 +13,32 @@
 namespace Sagecrank {
 
 // Runs the event after the delay, never at once.
-using Later = std::function<void(Duration, std::function<void()>)>;
+using Scheduler = std::function<void(Duration, std::function<void()>)>;
 
-struct RetryPlan
+struct RetryPolicy
 {
-    std::uint32_t tries = 5;
+    std::uint32_t attempts = 5;
     Milliseconds backoff{100}; // Doubles after each try.
     Milliseconds maximumBackoff{2000};
 };
 
-inline bool worthRepeating(ErrorKind kind)
+inline bool isRetryable(ErrorKind kind)
 {
     return kind == ErrorKind::Unavailable || kind == ErrorKind::Timeout || kind == ErrorKind::Refused;
 }
 
 template <typename T>
-void withRetries(RetryPlan plan, const Later &later,
+void withRetries(RetryPolicy policy, const Scheduler &later,
                  const std::function<void(std::function<void(Result<T>)>)> &operation,
                  std::function<void(Result<T>)> done)
 {
-    operation([plan, later, operation, done = std::move(done)](Result<T> result) mutable {
-        if (result || plan.tries <= 1 || !worthRepeating(result.assume_error().kind))
+    operation([policy, later, operation, done = std::move(done)](Result<T> result) mutable {
+        if (result || policy.attempts <= 1 || !isRetryable(result.assume_error().kind))
             return done(std::move(result));
-        const Milliseconds wait = plan.backoff;
-        --plan.tries;
-        plan.backoff = std::min(plan.backoff * 2, plan.maximumBackoff);
-        later(wait, [plan, later, operation, done] { withRetries<T>(plan, later, operation, done); });
+        const Milliseconds wait = policy.backoff;
+        --policy.attempts;
+        policy.backoff = std::min(policy.backoff * 2, policy.maximumBackoff);
+        later(wait, [policy, later, operation, done] { withRetries<T>(policy, later, operation, done); });
     });
 }
 
--- a/Libraries/LibSource/StoreEra.cpp
+++ b/Libraries/LibSource/StoreEra.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::size_t longestShown = 40; // Of a text that is no era; it may be anything.
+constexpr std::size_t maximumShownLength = 40; // Of a text that is no era; it may be anything.
 
 std::optional<std::uint64_t> parseEra(std::string_view text)
 {
@@ -22,48 +22,48 @@
 
 } // namespace
 
-std::optional<std::uint64_t> StoreEra::answered(std::string_view stated, const std::string &peer)
+std::optional<std::uint64_t> StoreEra::observeResponse(std::string_view stated, const std::string &peer)
 {
     const std::optional<std::uint64_t> era = parseEra(stated);
     if (!era) {
         // A store that has never stated one has none.
         if (!stated.empty() || this->highestSeen)
-            this->doubt(stated, peer, stated.empty() ? "no era is stated" : "the era is no number");
+            this->reportSuspect(stated, peer, stated.empty() ? "no era is stated" : "the era is no number");
         return this->highestSeen;
     }
     if (this->highestSeen && *era < *this->highestSeen)
-        this->doubt(stated, peer, "the era has fallen");
+        this->reportSuspect(stated, peer, "the era has fallen");
     if (this->highestSeen && *era <= *this->highestSeen)
         return era;
-    const EraRise rise{std::exchange(this->highestSeen, era), *era};
-    if (this->told != era)
-        this->tell(rise);
+    const EraChange change{std::exchange(this->highestSeen, era), *era};
+    if (this->lastNotified != era)
+        this->notifyListeners(change);
     return era;
 }
 
-void StoreEra::heard(std::uint64_t era)
+void StoreEra::observePeerEra(std::uint64_t era)
 {
-    if (!this->highestSeen || era <= *this->highestSeen || this->told == era)
+    if (!this->highestSeen || era <= *this->highestSeen || this->lastNotified == era)
         return;
-    this->tell({this->highestSeen, era});
+    this->notifyListeners({this->highestSeen, era});
 }
 
-void StoreEra::tell(const EraRise &rise)
+void StoreEra::notifyListeners(const EraChange &change)
 {
-    this->told = rise.now;
-    for (const Listener &listener : this->listeners)
-        listener(rise);
+    this->lastNotified = change.current;
+    for (const ChangeListener &listener : this->listeners)
+        listener(change);
 }
 
-void StoreEra::doubt(std::string_view stated, const std::string &peer, const char *message)
+void StoreEra::reportSuspect(std::string_view stated, const std::string &peer, const char *message)
 {
-    if (this->lastDoubt == stated)
+    if (this->lastSuspectText == stated)
         return;
-    this->lastDoubt = stated;
-    const std::string shown(stated.substr(0, longestShown));
-    if (this->doubted)
-        this->doubted(makeError(ErrorKind::InvalidInput, "read era", peer,
-                                shown.empty() ? message : message + (": " + shown)));
+    this->lastSuspectText = stated;
+    const std::string shown(stated.substr(0, maximumShownLength));
+    if (this->suspectListener)
+        this->suspectListener(makeError(ErrorKind::InvalidInput, "read era", peer,
+                                        shown.empty() ? message : message + (": " + shown)));
 }
 
 } // namespace Sagecrank
--- a/Libraries/LibSource/StoreEra.h
+++ b/Libraries/LibSource/StoreEra.h
@@ -17,40 +17,40 @@
 
 namespace Sagecrank {
 
-struct EraRise
+struct EraChange
 {
-    std::optional<std::uint64_t> before; // Nothing: the first that this process has heard of.
-    std::uint64_t now = 0;
+    std::optional<std::uint64_t> previous; // Nothing: the first that this process has heard of.
+    std::uint64_t current = 0;
 };
 
 class StoreEra
 {
 public:
-    using Listener = std::function<void(const EraRise &)>;
-    using DoubtListener = std::function<void(const Error &)>;
+    using ChangeListener = std::function<void(const EraChange &)>;
+    using SuspectListener = std::function<void(const Error &)>;
 
     // Commands. Listeners are called within answered() and heard(), in the order in which they came.
-    void listen(Listener listener) { this->listeners.push_back(std::move(listener)); }
-    void listenForDoubts(DoubtListener listener) { this->doubted = std::move(listener); }
+    void addChangeListener(ChangeListener listener) { this->listeners.push_back(std::move(listener)); }
+    void setSuspectListener(SuspectListener listener) { this->suspectListener = std::move(listener); }
     // As an answer states it; empty: it states none. Returns the era to which the answer belongs: what it
     // states, or the highest seen.
-    std::optional<std::uint64_t> answered(std::string_view stated, const std::string &peer);
+    std::optional<std::uint64_t> observeResponse(std::string_view stated, const std::string &peer);
     // A peer says that there is this one. It is believed that there was a return, and nothing more: what the
     // store has, and in which era, only its own answer tells.
-    void heard(std::uint64_t era);
+    void observePeerEra(std::uint64_t era);
 
     // Queries.
     std::optional<std::uint64_t> highest() const { return this->highestSeen; } // Of the store's own answers.
 
 private:
-    void tell(const EraRise &rise);
-    void doubt(std::string_view stated, const std::string &peer, const char *message);
+    void notifyListeners(const EraChange &change);
+    void reportSuspect(std::string_view stated, const std::string &peer, const char *message);
 
-    std::vector<Listener> listeners;
-    DoubtListener doubted;
+    std::vector<ChangeListener> listeners;
+    SuspectListener suspectListener;
     std::optional<std::uint64_t> highestSeen;
-    std::optional<std::uint64_t> told; // Last, to the listeners.
-    std::optional<std::string> lastDoubt;
+    std::optional<std::uint64_t> lastNotified; // Last, to the listeners.
+    std::optional<std::string> lastSuspectText;
 };
 
 } // namespace Sagecrank
--- a/Libraries/LibSource/TableVersionSource.cpp
+++ b/Libraries/LibSource/TableVersionSource.cpp
@@ -10,7 +10,7 @@
 
 // Reads of sections under way at once: the store's latency is hidden, and a node alone cannot take more than
 // a small part of what the store gives.
-constexpr std::size_t sectionReadsAtOnce = 8;
+constexpr std::size_t maximumConcurrentSectionReads = 8;
 
 class TableVersionSource : public std::enable_shared_from_this<TableVersionSource>
 {
@@ -22,18 +22,18 @@
     {
     }
 
-    void newest(HeadCallback callback)
+    void readHead(HeadCallback callback)
     {
         ++this->counts.headReads;
         this->heads.read(std::move(callback));
     }
 
-    void read(std::shared_ptr<const SiteConfiguration> held, SiteCallback callback)
+    void readSite(std::shared_ptr<const SiteConfiguration> held, SiteCallback callback)
     {
         auto pull = std::make_shared<Pull>();
         pull->held = std::move(held);
         pull->callback = std::move(callback);
-        this->newest([self = this->shared_from_this(), pull](Result<Head> head) {
+        this->readHead([self = this->shared_from_this(), pull](Result<Head> head) {
             if (!head)
                 return fail(*pull, head.assume_error());
             self->fetchManifest(pull, head.assume_value());
@@ -50,7 +50,7 @@
         SiteManifest manifest;
         SectionBytes bytes;
         std::vector<Digest> missing; // Still to be read.
-        std::size_t reading = 0;
+        std::size_t inFlightReads = 0;
     };
 
     static void fail(Pull &pull, const Error &error)
@@ -95,15 +95,15 @@
     {
         if (!pull->callback)
             return;
-        if (pull->missing.empty() && pull->reading == 0)
+        if (pull->missing.empty() && pull->inFlightReads == 0)
             return finish(*pull);
-        while (!pull->missing.empty() && pull->reading < sectionReadsAtOnce) {
+        while (!pull->missing.empty() && pull->inFlightReads < maximumConcurrentSectionReads) {
             const Digest digest = pull->missing.back();
             pull->missing.pop_back();
-            ++pull->reading;
+            ++pull->inFlightReads;
             ++this->counts.objectReads;
             this->versions.section(digest, [self = this->shared_from_this(), pull, digest](auto bytes) {
-                --pull->reading;
+                --pull->inFlightReads;
                 if (!bytes)
                     return fail(*pull, bytes.assume_error());
                 self->counts.readBytes += bytes.assume_value().size();
@@ -133,11 +133,11 @@
     const auto source =
         std::make_shared<TableVersionSource>(std::move(table), std::move(objects), std::move(site));
     VersionSource hooks;
-    hooks.newest = [source](const HeadQuery &, HeadCallback callback) {
-        source->newest(std::move(callback));
+    hooks.readHead = [source](const HeadQuery &, HeadCallback callback) {
+        source->readHead(std::move(callback));
     };
-    hooks.read = [source](std::shared_ptr<const SiteConfiguration> held, SiteCallback callback) {
-        source->read(std::move(held), std::move(callback));
+    hooks.readSite = [source](std::shared_ptr<const SiteConfiguration> held, SiteCallback callback) {
+        source->readSite(std::move(held), std::move(callback));
     };
     hooks.counters = [source] { return source->counters(); };
     return hooks;
--- a/Libraries/LibSource/VersionSource.h
+++ b/Libraries/LibSource/VersionSource.h
@@ -24,8 +24,8 @@
 {
     // With it, a source that can wait answers as soon as there is a newer version, or after the hold; and it
     // need not say again what is not newer. Without it, it answers at once.
-    std::optional<std::uint64_t> known;
-    Duration hold{};
+    std::optional<std::uint64_t> knownVersion;
+    Duration maximumWait{};
     bool freshConnection = false; // Not one that was kept, which may have fallen silent.
 };
 
@@ -36,11 +36,11 @@
 {
     // The newest accepted version; version zero before the first one. Reads may overlap, and be answered in
     // any order.
-    std::function<void(const HeadQuery &query, HeadCallback)> newest;
+    std::function<void(const HeadQuery &query, HeadCallback)> readHead;
 
     // The whole of this site at the newest accepted version. What `held` has (it may be null) need not be
     // read again. InvalidInput and TooLarge: it will not check tomorrow either.
-    std::function<void(std::shared_ptr<const SiteConfiguration> held, SiteCallback)> read;
+    std::function<void(std::shared_ptr<const SiteConfiguration> held, SiteCallback)> readSite;
 
     std::function<VersionSourceCounters()> counters;
 };
--- a/Services/Node/Control/ControlFollower.cpp
+++ b/Services/Node/Control/ControlFollower.cpp
@@ -130,10 +130,10 @@
     HeadQuery query;
     // Only those who read often wait for news; the others look once and leave the source alone.
     if (read.longPoll)
-        query.known = known;
-    query.hold = read.hold;
+        query.knownVersion = known;
+    query.maximumWait = read.hold;
     query.freshConnection = read.isRetry;
-    this->source.newest(query, [this, read, known, begun = SteadyClock::now()](Result<Head> head) {
+    this->source.readHead(query, [this, read, known, begun = SteadyClock::now()](Result<Head> head) {
         if (this->stopped)
             return;
         if (head)
@@ -246,7 +246,7 @@
 {
     ++this->counts.platformPulls;
     const auto held = this->recent.empty() ? nullptr : this->recent.back();
-    this->source.read(held, [this, number = step.number](Result<SiteConfiguration> configuration) {
+    this->source.readSite(held, [this, number = step.number](Result<SiteConfiguration> configuration) {
         if (this->stopped || !this->plan.isOpen(number))
             return;
         const Result<void> taken = this->takePlatformAnswer(std::move(configuration));
--- a/Services/Node/Gate/ClaimService.h
+++ b/Services/Node/Gate/ClaimService.h
@@ -21,7 +21,7 @@
     // only.
     std::size_t unsettledClaims() const
     {
-        return this->pendingOperations.load() + this->keeper.settlingCount();
+        return this->pendingOperations.load() + this->keeper.pendingFinalizations();
     }
 
 private:
@@ -29,7 +29,7 @@
     void post(std::function<void()> operation);
 
     boost::asio::io_context &control;
-    ClaimKeeper keeper; // Only used on the control thread.
+    ClaimManager keeper; // Only used on the control thread.
     boost::asio::steady_timer timer;
     // Operations posted to the control thread that have not run yet.
     std::atomic<std::size_t> pendingOperations = 0;
--- a/Services/Node/Gate/LocalGate.cpp
+++ b/Services/Node/Gate/LocalGate.cpp
@@ -131,27 +131,27 @@
 
     this->openStepSpan(*call, SpanName::Claim);
     this->claims.claim(
-        call->claimKey, call->request.attempt, call->deadline, [this, call](const ClaimAnswer &answer) {
+        call->claimKey, call->request.attempt, call->deadline, [this, call](const ClaimResponse &answer) {
             boost::asio::post(call->thread.context, [this, call, answer] { this->afterClaim(call, answer); });
         });
 }
 
-void LocalGate::afterClaim(const std::shared_ptr<GateCall> &call, const ClaimAnswer &answer)
+void LocalGate::afterClaim(const std::shared_ptr<GateCall> &call, const ClaimResponse &answer)
 {
     closeStepSpan(*call);
-    switch (answer.verdict) {
-    case ClaimVerdict::Granted:
+    switch (answer.decision) {
+    case ClaimDecision::Granted:
         call->claimed = true;
         if (call->cancelled)
             return this->refuse(call, reasonCancelled, unreachableRetryAfter);
         return this->offer(call);
-    case ClaimVerdict::AlreadyDone:
+    case ClaimDecision::AlreadyDone:
         return this->replay(call, answer.outcome);
-    case ClaimVerdict::InProgress:
+    case ClaimDecision::InProgress:
         return this->answerUnknown(call, reasonKeyInProgress, statusConflict, answer.retryAfter);
-    case ClaimVerdict::Unknown:
+    case ClaimDecision::Unknown:
         return this->answerUnknown(call, reasonKeyUnknown, statusGatewayTimeout, unreachableRetryAfter);
-    case ClaimVerdict::NotRun:
+    case ClaimDecision::NotRun:
         return this->refuse(call, answer.reason, answer.retryAfter);
     }
 }
--- a/Services/Node/Gate/LocalGate.h
+++ b/Services/Node/Gate/LocalGate.h
@@ -82,7 +82,7 @@
     bool serves(const std::string &cluster) const;
     std::optional<GateDecision> refusalFor(const CallAttributes &attributes);
     void claimKey(const std::shared_ptr<GateCall> &call);
-    void afterClaim(const std::shared_ptr<GateCall> &call, const ClaimAnswer &answer);
+    void afterClaim(const std::shared_ptr<GateCall> &call, const ClaimResponse &answer);
     void replay(const std::shared_ptr<GateCall> &call, const RecordedOutcome &outcome);
     void answerUnknown(const std::shared_ptr<GateCall> &call, std::string_view reason, std::uint32_t status,
                        Duration retryAfter);
--- a/Services/Node/Node.cpp
+++ b/Services/Node/Node.cpp
@@ -174,10 +174,11 @@
 {
     if (!this->adapter.era)
         return;
-    this->adapter.era->listenForDoubts([this](const Error &error) { this->nodeLog.storeEraDoubted(error); });
-    this->adapter.era->listen([this](const EraRise &rise) {
-        this->plane.noteStoreEra(rise.now);
-        if (!rise.before)
+    this->adapter.era->setSuspectListener(
+        [this](const Error &error) { this->nodeLog.storeEraDoubted(error); });
+    this->adapter.era->addChangeListener([this](const EraChange &rise) {
+        this->plane.noteStoreEra(rise.current);
+        if (!rise.previous)
             return; // Nothing was written before it.
         this->nodeLog.storeReturned(rise);
         this->record.writeAgain(SteadyClock::now());
@@ -228,7 +229,7 @@
     hooks.unmet = [this](const std::string &address) { this->nodeLog.memberUnmet(address); };
     hooks.storeEraHeard = [this](std::uint64_t era) {
         if (this->adapter.era)
-            this->adapter.era->heard(era);
+            this->adapter.era->observePeerEra(era);
     };
     hooks.sourceBack = [this](const SourceReturn &found) { this->nodeLog.sourceBack(found); };
     hooks.noticesChanged = [this](const std::vector<Notice> &notices) {
--- a/Services/Node/NodeLog.cpp
+++ b/Services/Node/NodeLog.cpp
@@ -93,9 +93,9 @@
                                               {"version", found.version}});
 }
 
-void NodeLog::storeReturned(const EraRise &rise)
+void NodeLog::storeReturned(const EraChange &rise)
 {
-    this->log.write(EventId::StoreReturned, {{"era", rise.now}, {"before", rise.before.value_or(0)}});
+    this->log.write(EventId::StoreReturned, {{"era", rise.current}, {"before", rise.previous.value_or(0)}});
 }
 
 void NodeLog::storeEraDoubted(const Error &error)
--- a/Services/Node/NodeLog.h
+++ b/Services/Node/NodeLog.h
@@ -28,7 +28,7 @@
     void controlFailed(const Error &error);
     void sourceFailed(const SourceFailure &failure);
     void sourceBack(const SourceReturn &found);
-    void storeReturned(const EraRise &rise);
+    void storeReturned(const EraChange &rise);
     void storeEraDoubted(const Error &error);
     void memberChanged(const Member &member);
     void memberUnmet(const std::string &gossipAddress);
--- a/Tests/Control/TestControlPlane.cpp
+++ b/Tests/Control/TestControlPlane.cpp
@@ -334,16 +334,15 @@
     VersionSource source()
     {
         VersionSource made;
-        made.newest = [this](const HeadQuery &, HeadCallback callback) {
+        made.readHead = [this](const HeadQuery &, HeadCallback callback) {
             ++this->asked;
             if (!this->silent)
                 boost::asio::post(this->context, [this, callback = std::move(callback)] {
                     callback(Head{this->version, {}, ""});
                 });
         };
-        made.read = [this](const std::shared_ptr<const SiteConfiguration> &, const SiteCallback &callback) {
-            callback(configuration(this->version, 10));
-        };
+        made.readSite = [this](const std::shared_ptr<const SiteConfiguration> &,
+                               const SiteCallback &callback) { callback(configuration(this->version, 10)); };
         made.counters = [] { return VersionSourceCounters{}; };
         return made;
     }
--- a/Tests/Ctl/TestArguments.cpp
+++ b/Tests/Ctl/TestArguments.cpp
@@ -56,18 +56,18 @@
 
 struct ReportRow
 {
-    PublishVerdict verdict;
+    PublishOutcome outcome;
     ErrorKind kind;
     ExitCode code;
 };
 
 const ReportRow reportRows[] = {
-    {PublishVerdict::Accepted, ErrorKind::Timeout, ExitCode::Success},
-    {PublishVerdict::Conflict, ErrorKind::Internal, ExitCode::Conflict},
-    {PublishVerdict::Unknown, ErrorKind::Timeout, ExitCode::Unknown},
-    {PublishVerdict::Failed, ErrorKind::Unavailable, ExitCode::Unavailable},
-    {PublishVerdict::Failed, ErrorKind::InvalidInput, ExitCode::InvalidInput},
-    {PublishVerdict::Failed, ErrorKind::NotFound, ExitCode::NotFound},
+    {PublishOutcome::Accepted, ErrorKind::Timeout, ExitCode::Success},
+    {PublishOutcome::Conflict, ErrorKind::Internal, ExitCode::Conflict},
+    {PublishOutcome::Unknown, ErrorKind::Timeout, ExitCode::Unknown},
+    {PublishOutcome::Failed, ErrorKind::Unavailable, ExitCode::Unavailable},
+    {PublishOutcome::Failed, ErrorKind::InvalidInput, ExitCode::InvalidInput},
+    {PublishOutcome::Failed, ErrorKind::NotFound, ExitCode::NotFound},
 };
 
 std::variant<Arguments, ExitCode> read(std::vector<const char *> words)
@@ -114,8 +114,8 @@
 // A script that publishes must tell "lost to another" from "try again" and from "look first".
 TABLE_TEST(exitCodes, tellReportsApart, reportRows)
 {
-    PublishReport report;
-    report.verdict = row.verdict;
+    PublishResult report;
+    report.outcome = row.outcome;
     report.error.kind = row.kind;
     cr_assert(exitCodeOf(report) == row.code);
 }
--- a/Tests/LibPlatform/TestTableProtocol.cpp
+++ b/Tests/LibPlatform/TestTableProtocol.cpp
@@ -47,7 +47,7 @@
     std::optional<TransactionResult> verdicts; // None when the whole is refused.
 };
 
-using Verdict = PutVerdict;
+using Verdict = PutOutcome;
 
 const CancelRow cancelRows[] = {
     {"second failed", R"([{"Code":"None"},{"Code":"ConditionalCheckFailed","Message":"m"}])",
--- a/Tests/LibSource/ClaimFixture.h
+++ b/Tests/LibSource/ClaimFixture.h
@@ -10,16 +10,16 @@
 
 namespace Sagecrank {
 
-class ClaimBench
+class ClaimFixture
 {
 public:
-    explicit ClaimBench(std::size_t gateCount, std::uint32_t seed = 1, ClaimSettings settings = {})
+    explicit ClaimFixture(std::size_t gateCount, std::uint32_t seed = 1, ClaimSettings settings = {})
         : platform(seed)
     {
         const ClaimClocks clocks{[this] { return this->platform.now; }, [this] { return this->wall(); }};
         for (std::size_t i = 0; i < gateCount; ++i)
             this->gates.push_back(
-                std::make_unique<ClaimKeeper>(this->platform.tablePort(), settings, clocks));
+                std::make_unique<ClaimManager>(this->platform.tablePort(), settings, clocks));
     }
 
     std::uint64_t wall() const
@@ -58,18 +58,18 @@
     }
 
     // The answer is written into the returned place when it comes; its reason is "none yet" until then.
-    std::shared_ptr<ClaimAnswer> claim(std::size_t gate, const std::string &key, const std::string &attempt,
-                                       Milliseconds within = Milliseconds(1000))
+    std::shared_ptr<ClaimResponse> claim(std::size_t gate, const std::string &key, const std::string &attempt,
+                                         Milliseconds within = Milliseconds(1000))
     {
-        const auto answer = std::make_shared<ClaimAnswer>();
+        const auto answer = std::make_shared<ClaimResponse>();
         answer->reason = "none yet";
         this->gates[gate]->claim(key, attempt, this->platform.now + within,
-                                 [answer](const ClaimAnswer &given) { *answer = given; });
+                                 [answer](const ClaimResponse &given) { *answer = given; });
         return answer;
     }
 
     FakePlatform platform;
-    std::vector<std::unique_ptr<ClaimKeeper>> gates;
+    std::vector<std::unique_ptr<ClaimManager>> gates;
 };
 
 } // namespace Sagecrank
--- a/Tests/LibSource/FakePlatform.h
+++ b/Tests/LibSource/FakePlatform.h
@@ -15,7 +15,7 @@
 
 namespace Sagecrank {
 
-enum class WriteFate : std::uint8_t { Answered, AnswerLost, RequestLost, EffectLate };
+enum class WriteOutcome : std::uint8_t { Acknowledged, ResponseLost, RequestLost, AppliedLate };
 
 class FakePlatform
 {
@@ -50,7 +50,7 @@
             const auto told = [callback = std::move(callback)](Result<TransactionResult> result) {
                 if (!result)
                     return callback(std::move(result).assume_error());
-                if (result.assume_value()[0] == PutVerdict::ConditionFailed)
+                if (result.assume_value()[0] == PutOutcome::ConditionFailed)
                     return callback(makeError(ErrorKind::Conflict, "put", "fake", "condition failed"));
                 callback(success());
             };
@@ -94,7 +94,7 @@
         return port;
     }
 
-    std::function<void(Duration, std::function<void()>)> later()
+    std::function<void(Duration, std::function<void()>)> scheduler()
     {
         return [this](Duration delay, std::function<void()> event) { this->answer(delay, std::move(event)); };
     }
@@ -134,8 +134,8 @@
     bool objectsDown = false;  // Only the object store.
     Milliseconds delay{1};     // Of every answer.
     Milliseconds timeout{100}; // When a caller without an answer is told so.
-    Milliseconds lateBy{400};
-    std::function<WriteFate()> fate = [] { return WriteFate::Answered; };
+    Milliseconds lateApplyDelay{400};
+    std::function<WriteOutcome()> drawWriteOutcome = [] { return WriteOutcome::Acknowledged; };
     std::map<RowKey, Row> rows;
     std::map<std::string, ObjectBytes> objects;
     std::mt19937 random;
@@ -170,27 +170,27 @@
 
     TransactionResult apply(const std::vector<ConditionalPut> &puts)
     {
-        TransactionResult verdicts(puts.size(), PutVerdict::Applied);
+        TransactionResult verdicts(puts.size(), PutOutcome::Applied);
         bool cancelled = false;
         for (std::size_t i = 0; i < puts.size(); ++i) {
-            if (!puts[i].condition.holdsFor(this->row(puts[i].row.key))) {
-                verdicts[i] = PutVerdict::ConditionFailed;
+            if (!puts[i].condition.matches(this->row(puts[i].row.key))) {
+                verdicts[i] = PutOutcome::ConditionFailed;
                 cancelled = true;
             }
         }
         for (std::size_t i = 0; i < puts.size(); ++i) {
             if (!cancelled)
                 this->rows[puts[i].row.key] = puts[i].row;
-            else if (verdicts[i] == PutVerdict::Applied)
-                verdicts[i] = PutVerdict::NotApplied;
+            else if (verdicts[i] == PutOutcome::Applied)
+                verdicts[i] = PutOutcome::NotApplied;
         }
         return verdicts;
     }
 
     void write(const std::vector<ConditionalPut> &puts, const TransactionCallback &callback)
     {
-        const WriteFate drawn = this->fate();
-        if (drawn == WriteFate::Answered) {
+        const WriteOutcome drawn = this->drawWriteOutcome();
+        if (drawn == WriteOutcome::Acknowledged) {
             return this->answer(this->readDelay(), [this, puts, callback] {
                 if (this->down)
                     return callback(unavailable());
@@ -200,10 +200,10 @@
         this->answer(this->timeout, [callback] {
             callback(makeError(ErrorKind::Timeout, "use fake", "fake", "no answer"));
         });
-        if (drawn == WriteFate::AnswerLost)
+        if (drawn == WriteOutcome::ResponseLost)
             this->answer(this->readDelay(), [this, puts] { this->apply(puts); });
-        if (drawn == WriteFate::EffectLate)
-            this->answer(this->timeout + this->lateBy, [this, puts] { this->apply(puts); });
+        if (drawn == WriteOutcome::AppliedLate)
+            this->answer(this->timeout + this->lateApplyDelay, [this, puts] { this->apply(puts); });
     }
 
     std::multimap<Instant, std::function<void()>> events;
--- a/Tests/LibSource/TestClaimRuns.cpp
+++ b/Tests/LibSource/TestClaimRuns.cpp
@@ -32,7 +32,7 @@
 {
     ClaimSettings settings;
     if (row.seed % 2 == 0)
-        settings.grouping.requestsBeforeGrouping = 0;
+        settings.batching.requestsBeforeBatching = 0;
     return settings;
 }
 
@@ -42,41 +42,41 @@
 public:
     explicit Run(const RunRow &row)
         : row(row)
-        , bench(gateCount, row.seed, settingsOf(row))
+        , fixture(gateCount, row.seed, settingsOf(row))
         , random(row.seed * 7919)
     {
-        this->bench.platform.fate = [this] { return this->drawFate(); };
+        this->fixture.platform.drawWriteOutcome = [this] { return this->drawFate(); };
     }
 
     void attempt(const std::string &key)
     {
         const std::size_t gate = this->random() % gateCount;
         const std::string attempt = "attempt-" + std::to_string(++this->attempts);
-        const Instant deadline = this->bench.platform.now + Milliseconds(5 + (this->random() % 600));
-        this->bench.gates[gate]->claim(key, attempt, deadline,
-                                       [this, gate, key, attempt, deadline](const ClaimAnswer &answer) {
-                                           this->answered(gate, key, attempt, deadline, answer);
-                                       });
+        const Instant deadline = this->fixture.platform.now + Milliseconds(5 + (this->random() % 600));
+        this->fixture.gates[gate]->claim(key, attempt, deadline,
+                                         [this, gate, key, attempt, deadline](const ClaimResponse &answer) {
+                                             this->answered(gate, key, attempt, deadline, answer);
+                                         });
     }
 
     void answered(std::size_t gate, const std::string &key, const std::string &attempt, Instant deadline,
-                  const ClaimAnswer &answer)
+                  const ClaimResponse &answer)
     {
         cr_assert(this->answeredAttempts.insert(attempt).second, "%s answered twice", attempt.c_str());
-        if (answer.verdict == ClaimVerdict::AlreadyDone)
+        if (answer.decision == ClaimDecision::AlreadyDone)
             cr_assert(this->ran[key] == answer.outcome.body, "%s: another's outcome", key.c_str());
-        if (answer.verdict == ClaimVerdict::NotRun)
+        if (answer.decision == ClaimDecision::NotRun)
             cr_assert(answer.retryAfter > Duration(0));
-        if (answer.verdict != ClaimVerdict::Granted)
+        if (answer.decision != ClaimDecision::Granted)
             return;
-        cr_assert(this->bench.platform.now < deadline, "%s granted too late", attempt.c_str());
+        cr_assert(this->fixture.platform.now < deadline, "%s granted too late", attempt.c_str());
         this->granted(gate, key, attempt);
     }
 
     void granted(std::size_t gate, const std::string &key, const std::string &attempt)
     {
         if (this->random() % 10 == 0) { // The upstream left in the meantime.
-            this->bench.gates[gate]->release(key, attempt);
+            this->fixture.gates[gate]->release(key, attempt);
             return;
         }
         cr_assert(this->ran.emplace(key, attempt).second, "%s ran twice", key.c_str());
@@ -84,21 +84,22 @@
             this->dead.insert(key);
             return;
         }
-        this->bench.platform.later()(Milliseconds(this->random() % 300), [this, gate, key, attempt] {
-            this->bench.gates[gate]->finish(key, attempt, {200, "text/plain", attempt, true});
+        this->fixture.platform.scheduler()(Milliseconds(this->random() % 300), [this, gate, key, attempt] {
+            this->fixture.gates[gate]->finish(key, attempt, {200, "text/plain", attempt, true});
         });
     }
 
-    WriteFate drawFate()
+    WriteOutcome drawFate()
     {
         if (this->healthy || this->random() % 100 >= this->row.lostPercent)
-            return WriteFate::Answered;
-        const WriteFate fates[] = {WriteFate::AnswerLost, WriteFate::RequestLost, WriteFate::EffectLate};
+            return WriteOutcome::Acknowledged;
+        const WriteOutcome fates[] = {WriteOutcome::ResponseLost, WriteOutcome::RequestLost,
+                                      WriteOutcome::AppliedLate};
         return fates[this->random() % 3];
     }
 
     const RunRow &row;
-    ClaimBench bench;
+    ClaimFixture fixture;
     std::mt19937 random;
     bool healthy = false;
     int attempts = 0;
@@ -116,27 +117,28 @@
 {
     Run run(row);
     for (int i = 0; i < attemptCount; ++i) {
-        run.bench.platform.down = row.outages && (i / 100) % 3 == 2;
+        run.fixture.platform.down = row.outages && (i / 100) % 3 == 2;
         run.attempt("key-" + std::to_string(run.random() % keyCount));
-        run.bench.run(Milliseconds(run.random() % 12));
+        run.fixture.run(Milliseconds(run.random() % 12));
         if (run.random() % 100 == 0) // Every process is paused, and its timers are late.
-            run.bench.platform.now += Milliseconds(run.random() % 900);
+            run.fixture.platform.now += Milliseconds(run.random() % 900);
     }
     run.healthy = true;
-    run.bench.platform.down = false;
-    run.bench.run(Milliseconds(70000));
+    run.fixture.platform.down = false;
+    run.fixture.run(Milliseconds(70000));
     cr_assert(run.answeredAttempts.size() == static_cast<std::size_t>(run.attempts), "an answer is missing");
     for (int i = 0; i < keyCount; ++i) {
         const std::string key = "key-" + std::to_string(i);
         const bool ran = run.ran.count(key) != 0;
-        const auto last = run.bench.claim(i % gateCount, key, "last-" + key);
-        run.bench.run(Milliseconds(50));
+        const auto last = run.fixture.claim(i % gateCount, key, "last-" + key);
+        run.fixture.run(Milliseconds(50));
         if (run.dead.count(key) != 0) { // The gate that granted it still waits for its end.
-            cr_assert(last->verdict == ClaimVerdict::Unknown || last->verdict == ClaimVerdict::InProgress);
+            cr_assert(last->decision == ClaimDecision::Unknown
+                      || last->decision == ClaimDecision::InProgress);
             continue;
         }
-        const ClaimVerdict wanted = ran ? ClaimVerdict::AlreadyDone : ClaimVerdict::Granted;
-        cr_assert(last->verdict == wanted, "%s: %s %s", key.c_str(),
-                  std::string(claimVerdictNames.name(last->verdict)).c_str(), last->reason.c_str());
+        const ClaimDecision wanted = ran ? ClaimDecision::AlreadyDone : ClaimDecision::Granted;
+        cr_assert(last->decision == wanted, "%s: %s %s", key.c_str(),
+                  std::string(claimDecisionNames.name(last->decision)).c_str(), last->reason.c_str());
     }
 }
--- a/Tests/LibSource/TestClaims.cpp
+++ b/Tests/LibSource/TestClaims.cpp
@@ -11,20 +11,20 @@
 const RecordedOutcome paid{201, "application/json", "{\"paid\":true}", true};
 
 // Hands out the given fates in order, then "answered".
-std::function<WriteFate()> inOrder(std::deque<WriteFate> fates)
+std::function<WriteOutcome()> inOrder(std::deque<WriteOutcome> fates)
 {
     return [fates = std::move(fates)]() mutable {
         if (fates.empty())
-            return WriteFate::Answered;
-        const WriteFate next = fates.front();
+            return WriteOutcome::Acknowledged;
+        const WriteOutcome next = fates.front();
         fates.pop_front();
         return next;
     };
 }
 
-std::string stateOf(ClaimBench &bench, const std::string &key)
+std::string stateOf(ClaimFixture &fixture, const std::string &key)
 {
-    const auto row = bench.platform.row(claimKey(key));
+    const auto row = fixture.platform.row(claimKey(key));
     return row ? *row->text("claim_state") : "absent";
 }
 
@@ -32,34 +32,34 @@
 ClaimSettings alwaysGrouping()
 {
     ClaimSettings settings;
-    settings.grouping.requestsBeforeGrouping = 0;
+    settings.batching.requestsBeforeBatching = 0;
     return settings;
 }
 
 struct LostRow
 {
     const char *name;
-    std::deque<WriteFate> fates; // Of the claim's puts.
+    std::deque<WriteOutcome> fates; // Of the claim's puts.
 };
 
 const LostRow lostRows[] = {
-    {"answer lost after the effect", {WriteFate::AnswerLost}},
-    {"request lost", {WriteFate::RequestLost}},
-    {"effect after the read-back", {WriteFate::EffectLate}},
-    {"effect late, then answer lost", {WriteFate::EffectLate, WriteFate::AnswerLost}},
-    {"lost three times", {WriteFate::RequestLost, WriteFate::EffectLate, WriteFate::RequestLost}},
+    {"answer lost after the effect", {WriteOutcome::ResponseLost}},
+    {"request lost", {WriteOutcome::RequestLost}},
+    {"effect after the read-back", {WriteOutcome::AppliedLate}},
+    {"effect late, then answer lost", {WriteOutcome::AppliedLate, WriteOutcome::ResponseLost}},
+    {"lost three times", {WriteOutcome::RequestLost, WriteOutcome::AppliedLate, WriteOutcome::RequestLost}},
 };
 
 struct DeadlineRow
 {
     const char *name;
-    WriteFate fate;
+    WriteOutcome drawWriteOutcome;
 };
 
 const DeadlineRow deadlineRows[] = {
-    {"never arrives", WriteFate::RequestLost},
-    {"arrives at once, answers lost", WriteFate::AnswerLost},
-    {"arrives after the deadline", WriteFate::EffectLate},
+    {"never arrives", WriteOutcome::RequestLost},
+    {"arrives at once, answers lost", WriteOutcome::ResponseLost},
+    {"arrives after the deadline", WriteOutcome::AppliedLate},
 };
 
 struct BodyRow
@@ -71,8 +71,8 @@
 
 const BodyRow bodyRows[] = {
     {"empty", "", true},
-    {"largest", std::string(maximumRecordedBody, 'x'), true},
-    {"too large", std::string(maximumRecordedBody + 1, 'x'), false},
+    {"largest", std::string(maximumRecordedBodyBytes, 'x'), true},
+    {"too large", std::string(maximumRecordedBodyBytes + 1, 'x'), false},
     {"text beyond ASCII", "Sj\xc3\xa6lland", true},
     {"binary", "\xff\xfe\x01", false},
     {"cut inside a character", "Sj\xc3", false},
@@ -107,20 +107,20 @@
 // the claim that lands after the outcome was recorded must not wipe it out.
 TABLE_TEST(claims, lostAnswersStillGrantOnce, lostRows)
 {
-    ClaimBench bench(2);
-    bench.platform.fate = inOrder(row.fates);
-    const auto first = bench.claim(0, "k", "a1", Milliseconds(2000));
-    bench.run(Milliseconds(900));
-    cr_assert(first->verdict == ClaimVerdict::Granted, "%s: %s", row.name, first->reason.c_str());
-    const auto during = bench.claim(1, "k", "b1");
-    bench.run(Milliseconds(20));
-    cr_assert(during->verdict == ClaimVerdict::InProgress, "%s: %s", row.name, during->reason.c_str());
+    ClaimFixture fixture(2);
+    fixture.platform.drawWriteOutcome = inOrder(row.fates);
+    const auto first = fixture.claim(0, "k", "a1", Milliseconds(2000));
+    fixture.run(Milliseconds(900));
+    cr_assert(first->decision == ClaimDecision::Granted, "%s: %s", row.name, first->reason.c_str());
+    const auto during = fixture.claim(1, "k", "b1");
+    fixture.run(Milliseconds(20));
+    cr_assert(during->decision == ClaimDecision::InProgress, "%s: %s", row.name, during->reason.c_str());
     cr_assert(during->retryAfter > Duration(0));
-    bench.gates[0]->finish("k", "a1", paid);
-    bench.run(Milliseconds(2000));
-    const auto after = bench.claim(1, "k", "b2");
-    bench.run(Milliseconds(20));
-    cr_assert(after->verdict == ClaimVerdict::AlreadyDone, "%s: %s", row.name, after->reason.c_str());
+    fixture.gates[0]->finish("k", "a1", paid);
+    fixture.run(Milliseconds(2000));
+    const auto after = fixture.claim(1, "k", "b2");
+    fixture.run(Milliseconds(20));
+    cr_assert(after->decision == ClaimDecision::AlreadyDone, "%s: %s", row.name, after->reason.c_str());
     cr_assert(after->outcome == paid, "%s", row.name);
 }
 
@@ -128,37 +128,39 @@
 // which must stay true, and its next try must not find the key stuck by a claim that landed after all.
 TABLE_TEST(claims, unconfirmedByTheDeadlineNeverRuns, deadlineRows)
 {
-    ClaimBench bench(2);
+    ClaimFixture fixture(2);
     bool losing = true;
-    bench.platform.fate = [&] { return losing ? row.fate : WriteFate::Answered; };
-    const auto first = bench.claim(0, "k", "a1", Milliseconds(90));
-    bench.run(Milliseconds(91));
-    cr_assert(first->verdict == ClaimVerdict::NotRun, "%s: %s", row.name, first->reason.c_str());
+    fixture.platform.drawWriteOutcome = [&] {
+        return losing ? row.drawWriteOutcome : WriteOutcome::Acknowledged;
+    };
+    const auto first = fixture.claim(0, "k", "a1", Milliseconds(90));
+    fixture.run(Milliseconds(91));
+    cr_assert(first->decision == ClaimDecision::NotRun, "%s: %s", row.name, first->reason.c_str());
     cr_assert(first->retryAfter > Duration(0));
     losing = false;
-    bench.run(Milliseconds(3000));
-    cr_assert(stateOf(bench, "k") == "released", "%s: %s", row.name, stateOf(bench, "k").c_str());
-    const auto second = bench.claim(1, "k", "b1");
-    bench.run(Milliseconds(50));
-    cr_assert(second->verdict == ClaimVerdict::Granted, "%s: %s", row.name, second->reason.c_str());
+    fixture.run(Milliseconds(3000));
+    cr_assert(stateOf(fixture, "k") == "released", "%s: %s", row.name, stateOf(fixture, "k").c_str());
+    const auto second = fixture.claim(1, "k", "b1");
+    fixture.run(Milliseconds(50));
+    cr_assert(second->decision == ClaimDecision::Granted, "%s: %s", row.name, second->reason.c_str());
 }
 
 // The process is paused while the table's answer is on its way. It wakes after the caller's deadline and
 // finds its claim confirmed. The call must not start, and the key must become free.
 Test(claims, confirmedAfterTheDeadlineDoesNotStart)
 {
-    ClaimBench bench(2);
-    const auto first = bench.claim(0, "k", "a1", Milliseconds(50));
-    while (bench.platform.putRequests == 0)
-        bench.step(bench.platform.now + Milliseconds(10));
-    bench.platform.now += Milliseconds(500);
-    bench.platform.step(bench.platform.now); // The answer comes before the gate's own timers.
-    cr_assert(first->verdict == ClaimVerdict::NotRun);
+    ClaimFixture fixture(2);
+    const auto first = fixture.claim(0, "k", "a1", Milliseconds(50));
+    while (fixture.platform.putRequests == 0)
+        fixture.step(fixture.platform.now + Milliseconds(10));
+    fixture.platform.now += Milliseconds(500);
+    fixture.platform.step(fixture.platform.now); // The answer comes before the gate's own timers.
+    cr_assert(first->decision == ClaimDecision::NotRun);
     cr_assert(first->reason == "deadline_passed", "%s", first->reason.c_str());
-    bench.run(Milliseconds(500));
-    const auto second = bench.claim(1, "k", "b1");
-    bench.run(Milliseconds(50));
-    cr_assert(second->verdict == ClaimVerdict::Granted);
+    fixture.run(Milliseconds(500));
+    const auto second = fixture.claim(1, "k", "b1");
+    fixture.run(Milliseconds(50));
+    cr_assert(second->decision == ClaimDecision::Granted);
 }
 
 // Two tries with one key reach two gates at the same moment. One runs; the other is told that the key is in
@@ -166,14 +168,14 @@
 Test(claims, twoGatesRaceForOneKey)
 {
     for (std::uint32_t seed = 1; seed <= 20; ++seed) {
-        ClaimBench bench(2, seed);
-        const auto first = bench.claim(0, "k", "a1");
-        const auto second = bench.claim(1, "k", "b1");
-        bench.run(Milliseconds(50));
-        const int granted = (first->verdict == ClaimVerdict::Granted ? 1 : 0)
-                            + (second->verdict == ClaimVerdict::Granted ? 1 : 0);
-        const int inUse = (first->verdict == ClaimVerdict::InProgress ? 1 : 0)
-                          + (second->verdict == ClaimVerdict::InProgress ? 1 : 0);
+        ClaimFixture fixture(2, seed);
+        const auto first = fixture.claim(0, "k", "a1");
+        const auto second = fixture.claim(1, "k", "b1");
+        fixture.run(Milliseconds(50));
+        const int granted = (first->decision == ClaimDecision::Granted ? 1 : 0)
+                            + (second->decision == ClaimDecision::Granted ? 1 : 0);
+        const int inUse = (first->decision == ClaimDecision::InProgress ? 1 : 0)
+                          + (second->decision == ClaimDecision::InProgress ? 1 : 0);
         cr_assert(granted == 1, "seed %u: %d granted", seed, granted);
         cr_assert(inUse == 1, "seed %u: %d in progress", seed, inUse);
     }
@@ -183,19 +185,19 @@
 // Callers are told "in progress" up to the holder's deadline and "unknown" after it; it never runs again.
 Test(claims, aDeadHoldersKeyNeverRunsAgain)
 {
-    ClaimBench bench(2);
-    const auto first = bench.claim(0, "k", "a1", Milliseconds(500));
-    bench.run(Milliseconds(20));
-    cr_assert(first->verdict == ClaimVerdict::Granted);
-    bench.gates[0].reset();
-    const auto early = bench.claim(1, "k", "b1");
-    bench.run(Milliseconds(20));
-    cr_assert(early->verdict == ClaimVerdict::InProgress);
-    bench.run(Milliseconds(1000));
+    ClaimFixture fixture(2);
+    const auto first = fixture.claim(0, "k", "a1", Milliseconds(500));
+    fixture.run(Milliseconds(20));
+    cr_assert(first->decision == ClaimDecision::Granted);
+    fixture.gates[0].reset();
+    const auto early = fixture.claim(1, "k", "b1");
+    fixture.run(Milliseconds(20));
+    cr_assert(early->decision == ClaimDecision::InProgress);
+    fixture.run(Milliseconds(1000));
     for (int attempt = 0; attempt < 5; ++attempt) {
-        const auto late = bench.claim(1, "k", "late" + std::to_string(attempt));
-        bench.run(Milliseconds(60000));
-        cr_assert(late->verdict == ClaimVerdict::Unknown, "%s", late->reason.c_str());
+        const auto late = fixture.claim(1, "k", "late" + std::to_string(attempt));
+        fixture.run(Milliseconds(60000));
+        cr_assert(late->decision == ClaimDecision::Unknown, "%s", late->reason.c_str());
     }
 }
 
@@ -203,54 +205,54 @@
 // try may run elsewhere; copies of the old attempt's puts that land afterwards change nothing.
 Test(claims, aReleasedKeyMayBeTakenOver)
 {
-    ClaimBench bench(2);
-    bench.platform.fate = inOrder({WriteFate::EffectLate, WriteFate::AnswerLost});
-    const auto first = bench.claim(0, "k", "a1");
-    bench.run(Milliseconds(430));
-    cr_assert(first->verdict == ClaimVerdict::Granted, "%s", first->reason.c_str());
-    bench.gates[0]->release("k", "a1");
-    bench.run(Milliseconds(10));
-    const auto second = bench.claim(1, "k", "b1");
-    bench.run(Milliseconds(2000));
-    cr_assert(second->verdict == ClaimVerdict::Granted, "%s", second->reason.c_str());
-    cr_assert(*bench.platform.row(claimKey("k"))->text("attempt") == "b1");
-    bench.gates[0]->finish("k", "a1", paid); // Too late and not its own any more.
-    bench.run(Milliseconds(100));
-    cr_assert(stateOf(bench, "k") == "claimed");
+    ClaimFixture fixture(2);
+    fixture.platform.drawWriteOutcome = inOrder({WriteOutcome::AppliedLate, WriteOutcome::ResponseLost});
+    const auto first = fixture.claim(0, "k", "a1");
+    fixture.run(Milliseconds(430));
+    cr_assert(first->decision == ClaimDecision::Granted, "%s", first->reason.c_str());
+    fixture.gates[0]->release("k", "a1");
+    fixture.run(Milliseconds(10));
+    const auto second = fixture.claim(1, "k", "b1");
+    fixture.run(Milliseconds(2000));
+    cr_assert(second->decision == ClaimDecision::Granted, "%s", second->reason.c_str());
+    cr_assert(*fixture.platform.row(claimKey("k"))->text("attempt") == "b1");
+    fixture.gates[0]->finish("k", "a1", paid); // Too late and not its own any more.
+    fixture.run(Milliseconds(100));
+    cr_assert(stateOf(fixture, "k") == "claimed");
 }
 
 // The table is down. Callers are refused "not run" with when to come back; after five failures at once,
 // without waiting for the table. When it is back, keyed calls run again without anybody's help.
 Test(claims, anOutageRefusesAtOnceAndHealsItself)
 {
-    ClaimBench bench(1);
-    bench.platform.down = true;
+    ClaimFixture fixture(1);
+    fixture.platform.down = true;
     for (int i = 0; i < 5; ++i) {
-        const auto answer = bench.claim(0, "k" + std::to_string(i), "a");
-        bench.run(Milliseconds(10));
-        cr_assert(answer->verdict == ClaimVerdict::NotRun);
+        const auto answer = fixture.claim(0, "k" + std::to_string(i), "a");
+        fixture.run(Milliseconds(10));
+        cr_assert(answer->decision == ClaimDecision::NotRun);
         cr_assert(answer->reason == "claims_table_down", "%s", answer->reason.c_str());
     }
-    const int before = bench.platform.putRequests;
+    const int before = fixture.platform.putRequests;
     int answeredAtOnce = 0;
     for (int i = 0; i < 1000; ++i) {
-        const auto answer = bench.claim(0, "more" + std::to_string(i), "a");
+        const auto answer = fixture.claim(0, "more" + std::to_string(i), "a");
         answeredAtOnce += answer->reason == "claims_table_down" ? 1 : 0; // No time has passed.
-        bench.run(Milliseconds(10));
+        fixture.run(Milliseconds(10));
         cr_assert(answer->reason == "claims_table_down", "%s", answer->reason.c_str());
         cr_assert(answer->retryAfter > Duration(0));
     }
-    const int probes = bench.platform.putRequests - before;
+    const int probes = fixture.platform.putRequests - before;
     cr_assert(probes >= 2 && probes <= 8, "%d probes in ten seconds", probes);
     cr_assert(answeredAtOnce == 1000 - probes, "%d at once, %d probes", answeredAtOnce, probes);
-    bench.platform.down = false;
-    bench.run(Milliseconds(5000));
-    const auto probe = bench.claim(0, "probe", "a");
-    bench.run(Milliseconds(10));
-    cr_assert(probe->verdict == ClaimVerdict::Granted);
-    const auto next = bench.claim(0, "next", "a");
-    bench.run(Milliseconds(10));
-    cr_assert(next->verdict == ClaimVerdict::Granted);
+    fixture.platform.down = false;
+    fixture.run(Milliseconds(5000));
+    const auto probe = fixture.claim(0, "probe", "a");
+    fixture.run(Milliseconds(10));
+    cr_assert(probe->decision == ClaimDecision::Granted);
+    const auto next = fixture.claim(0, "next", "a");
+    fixture.run(Milliseconds(10));
+    cr_assert(next->decision == ClaimDecision::Granted);
 }
 
 // The table takes connections and drops them, so every put may have taken effect. A caller with a long
@@ -258,21 +260,21 @@
 // is freed once the table is back.
 Test(claims, anOutageThatDropsConnectionsRefusesBeforeTheDeadline)
 {
-    ClaimBench bench(2);
-    bench.platform.down = true;
-    bench.platform.timeout = Milliseconds(2);
-    bench.platform.fate = [] { return WriteFate::RequestLost; };
-    const auto answer = bench.claim(0, "k", "a1", Milliseconds(30000));
-    bench.run(Milliseconds(700));
-    cr_assert(answer->verdict == ClaimVerdict::NotRun);
+    ClaimFixture fixture(2);
+    fixture.platform.down = true;
+    fixture.platform.timeout = Milliseconds(2);
+    fixture.platform.drawWriteOutcome = [] { return WriteOutcome::RequestLost; };
+    const auto answer = fixture.claim(0, "k", "a1", Milliseconds(30000));
+    fixture.run(Milliseconds(700));
+    cr_assert(answer->decision == ClaimDecision::NotRun);
     cr_assert(answer->reason == "claims_table_down", "%s", answer->reason.c_str());
     cr_assert(answer->retryAfter > Duration(0));
-    bench.platform.down = false;
-    bench.platform.fate = [] { return WriteFate::Answered; };
-    bench.run(Milliseconds(6000));
-    const auto second = bench.claim(1, "k", "b1");
-    bench.run(Milliseconds(50));
-    cr_assert(second->verdict == ClaimVerdict::Granted, "%s", second->reason.c_str());
+    fixture.platform.down = false;
+    fixture.platform.drawWriteOutcome = [] { return WriteOutcome::Acknowledged; };
+    fixture.run(Milliseconds(6000));
+    const auto second = fixture.claim(1, "k", "b1");
+    fixture.run(Milliseconds(50));
+    cr_assert(second->decision == ClaimDecision::Granted, "%s", second->reason.c_str());
 }
 
 // The table takes seconds. Claims pile up to the cap; the rest are refused at once, and those that wait are
@@ -281,17 +283,17 @@
 {
     ClaimSettings settings;
     settings.maximumWaiting = 10;
-    ClaimBench bench(1, 1, settings);
-    bench.platform.delay = Milliseconds(5000);
-    std::vector<std::shared_ptr<ClaimAnswer>> answers;
+    ClaimFixture fixture(1, 1, settings);
+    fixture.platform.delay = Milliseconds(5000);
+    std::vector<std::shared_ptr<ClaimResponse>> answers;
     for (int i = 0; i < 15; ++i)
-        answers.push_back(bench.claim(0, "k" + std::to_string(i), "a", Milliseconds(100)));
+        answers.push_back(fixture.claim(0, "k" + std::to_string(i), "a", Milliseconds(100)));
     for (int i = 10; i < 15; ++i)
         cr_assert(answers[i]->reason == "too_many_claims_wait");
-    bench.run(Milliseconds(100));
+    fixture.run(Milliseconds(100));
     for (int i = 0; i < 10; ++i)
         cr_assert(answers[i]->reason == "claims_table_slow", "%s", answers[i]->reason.c_str());
-    const auto next = bench.claim(0, "next", "a"); // By now the table counts as down.
+    const auto next = fixture.claim(0, "next", "a"); // By now the table counts as down.
     cr_assert(next->reason == "claims_table_down", "%s", next->reason.c_str());
 }
 
@@ -299,52 +301,53 @@
 // record another call's outcome, or free a key while its call runs.
 Test(claims, onlyTheHolderEndsItsClaim)
 {
-    ClaimBench bench(1);
-    const auto first = bench.claim(0, "k", "a1");
-    bench.gates[0]->finish("k", "a1", paid); // Not granted yet.
-    bench.run(Milliseconds(20));
-    cr_assert(first->verdict == ClaimVerdict::Granted);
-    bench.gates[0]->finish("k", "a0", paid);
-    bench.gates[0]->release("k", "a0");
-    bench.gates[0]->leaveUnknown("k", "a0");
-    bench.run(Milliseconds(20));
-    cr_assert(stateOf(bench, "k") == "claimed");
-    cr_assert(bench.claim(0, "k", "a2")->verdict == ClaimVerdict::InProgress);
-    bench.gates[0]->finish("k", "a1", paid);
-    cr_assert(bench.claim(0, "k", "a2")->verdict == ClaimVerdict::AlreadyDone); // Known before it is stored.
-    bench.gates[0]->release("k", "a1");
-    bench.run(Milliseconds(20));
-    cr_assert(stateOf(bench, "k") == "done");
-    cr_assert(bench.gates[0]->counters().settling.settled == 1);
+    ClaimFixture fixture(1);
+    const auto first = fixture.claim(0, "k", "a1");
+    fixture.gates[0]->finish("k", "a1", paid); // Not granted yet.
+    fixture.run(Milliseconds(20));
+    cr_assert(first->decision == ClaimDecision::Granted);
+    fixture.gates[0]->finish("k", "a0", paid);
+    fixture.gates[0]->release("k", "a0");
+    fixture.gates[0]->leaveUnknown("k", "a0");
+    fixture.run(Milliseconds(20));
+    cr_assert(stateOf(fixture, "k") == "claimed");
+    cr_assert(fixture.claim(0, "k", "a2")->decision == ClaimDecision::InProgress);
+    fixture.gates[0]->finish("k", "a1", paid);
+    cr_assert(fixture.claim(0, "k", "a2")->decision
+              == ClaimDecision::AlreadyDone); // Known before it is stored.
+    fixture.gates[0]->release("k", "a1");
+    fixture.run(Milliseconds(20));
+    cr_assert(stateOf(fixture, "k") == "done");
+    cr_assert(fixture.gates[0]->counters().finalizing.written == 1);
 }
 
 // The call ran, and the answer to the record of its outcome is lost. The record is found in the table and not
 // written for a whole minute again and again.
 Test(claims, aRecordWhoseAnswerIsLostIsSettled)
 {
-    ClaimBench bench(1);
-    bench.claim(0, "k", "a1");
-    bench.run(Milliseconds(20));
-    bench.platform.fate = inOrder({WriteFate::AnswerLost, WriteFate::AnswerLost});
-    bench.gates[0]->finish("k", "a1", paid);
-    bench.run(Milliseconds(1000));
-    cr_assert(stateOf(bench, "k") == "done");
-    cr_assert(bench.gates[0]->counters().settling.settled == 1);
+    ClaimFixture fixture(1);
+    fixture.claim(0, "k", "a1");
+    fixture.run(Milliseconds(20));
+    fixture.platform.drawWriteOutcome = inOrder({WriteOutcome::ResponseLost, WriteOutcome::ResponseLost});
+    fixture.gates[0]->finish("k", "a1", paid);
+    fixture.run(Milliseconds(1000));
+    cr_assert(stateOf(fixture, "k") == "done");
+    cr_assert(fixture.gates[0]->counters().finalizing.written == 1);
     // The claim, the record, its repeat whose answer is lost too, and the one that finds it done.
-    cr_assert(bench.platform.putRequests == 4, "%d puts", bench.platform.putRequests);
+    cr_assert(fixture.platform.putRequests == 4, "%d puts", fixture.platform.putRequests);
 }
 
 // The deadline passes while the claim still waits for its group. Its release must not join the same group:
 // the table refuses a transaction that names a row twice, and with it every other claim of the group.
 Test(claims, aClaimAndItsReleaseTravelApart)
 {
-    ClaimBench bench(1, 1, alwaysGrouping());
-    const auto first = bench.claim(0, "k", "a1", Milliseconds(1));
-    bench.run(Milliseconds(50));
+    ClaimFixture fixture(1, 1, alwaysGrouping());
+    const auto first = fixture.claim(0, "k", "a1", Milliseconds(1));
+    fixture.run(Milliseconds(50));
     cr_assert(first->reason == "claims_table_slow");
-    cr_assert(bench.platform.transactRequests == 0);
-    cr_assert(bench.platform.putRequests == 2);
-    cr_assert(stateOf(bench, "k") == "released");
+    cr_assert(fixture.platform.transactRequests == 0);
+    cr_assert(fixture.platform.putRequests == 2);
+    cr_assert(stateOf(fixture, "k") == "released");
 }
 
 // Every put against every row that may stand there when it lands, however late.
@@ -352,41 +355,41 @@
 {
     const ClaimRow mine{"k", "mine", ClaimState::Claimed, 0, 0, {}};
     const std::optional<std::string> previous = "previous";
-    std::optional<Row> standing;
+    std::optional<Row> existing;
     if (row.attempt != nullptr)
-        standing = claimRow({"k", row.attempt, row.state, 0, 0, {}});
-    cr_assert(claimPut(mine, std::nullopt).condition.holdsFor(standing) == row.claims);
-    cr_assert(claimPut(mine, previous).condition.holdsFor(standing) == row.takesOver);
-    cr_assert(releasePut(mine, std::nullopt).condition.holdsFor(standing) == row.claims);
-    cr_assert(releasePut(mine, previous).condition.holdsFor(standing) == row.takesOver);
-    cr_assert(recordPut(mine, {}).condition.holdsFor(standing) == row.records);
+        existing = claimRow({"k", row.attempt, row.state, 0, 0, {}});
+    cr_assert(claimPut(mine, std::nullopt).condition.matches(existing) == row.claims);
+    cr_assert(claimPut(mine, previous).condition.matches(existing) == row.takesOver);
+    cr_assert(releasePut(mine, std::nullopt).condition.matches(existing) == row.claims);
+    cr_assert(releasePut(mine, previous).condition.matches(existing) == row.takesOver);
+    cr_assert(recordPut(mine, {}).condition.matches(existing) == row.records);
 }
 
 // Ten keyed calls arrive within a millisecond. They share one request, and the one whose key is taken does
 // not get the other nine refused.
 Test(claims, aTakenKeyDoesNotRefuseItsGroup)
 {
-    ClaimBench bench(2, 1, alwaysGrouping());
-    const auto holder = bench.claim(1, "k3", "b");
-    bench.run(Milliseconds(20));
-    cr_assert(holder->verdict == ClaimVerdict::Granted);
-    bench.platform.putRequests = 0;
-    std::vector<std::shared_ptr<ClaimAnswer>> answers;
+    ClaimFixture fixture(2, 1, alwaysGrouping());
+    const auto holder = fixture.claim(1, "k3", "b");
+    fixture.run(Milliseconds(20));
+    cr_assert(holder->decision == ClaimDecision::Granted);
+    fixture.platform.putRequests = 0;
+    std::vector<std::shared_ptr<ClaimResponse>> answers;
     for (int i = 0; i < 10; ++i)
-        answers.push_back(bench.claim(0, "k" + std::to_string(i), "a"));
-    bench.run(Milliseconds(50));
+        answers.push_back(fixture.claim(0, "k" + std::to_string(i), "a"));
+    fixture.run(Milliseconds(50));
     for (int i = 0; i < 10; ++i) {
-        const ClaimVerdict wanted = i == 3 ? ClaimVerdict::InProgress : ClaimVerdict::Granted;
-        cr_assert(answers[i]->verdict == wanted, "claim %d: %s", i, answers[i]->reason.c_str());
+        const ClaimDecision wanted = i == 3 ? ClaimDecision::InProgress : ClaimDecision::Granted;
+        cr_assert(answers[i]->decision == wanted, "claim %d: %s", i, answers[i]->reason.c_str());
     }
-    cr_assert(bench.platform.transactRequests == 1);
-    cr_assert(bench.platform.putRequests == 9); // Each of the nine once more, alone.
+    cr_assert(fixture.platform.transactRequests == 1);
+    cr_assert(fixture.platform.putRequests == 9); // Each of the nine once more, alone.
     for (int i = 10; i < 20; ++i)
-        answers.push_back(bench.claim(0, "k" + std::to_string(i), "a"));
-    bench.run(Milliseconds(50));
-    cr_assert(answers.back()->verdict == ClaimVerdict::Granted);
-    cr_assert(bench.platform.transactRequests == 2);
-    cr_assert(bench.platform.putRequests == 9);
+        answers.push_back(fixture.claim(0, "k" + std::to_string(i), "a"));
+    fixture.run(Milliseconds(50));
+    cr_assert(answers.back()->decision == ClaimDecision::Granted);
+    cr_assert(fixture.platform.transactRequests == 2);
+    cr_assert(fixture.platform.putRequests == 9);
 }
 
 // The owner of a keeper looks at nextWake() when it has claimed and when it has woken, not after each answer
@@ -394,64 +397,65 @@
 // be followed up in time all the same.
 Test(claims, wakesItsOwnerWhileAnAnswerIsAwaited)
 {
-    ClaimBench bench(1);
-    bench.platform.fate = inOrder({WriteFate::RequestLost, WriteFate::Answered, WriteFate::RequestLost});
+    ClaimFixture fixture(1);
+    fixture.platform.drawWriteOutcome =
+        inOrder({WriteOutcome::RequestLost, WriteOutcome::Acknowledged, WriteOutcome::RequestLost});
     std::optional<Instant> timer;
     const auto runUntil = [&](Instant end) {
         while (true) {
-            const auto event = bench.platform.nextEvent();
+            const auto event = fixture.platform.nextEvent();
             const bool timerFirst = timer && *timer <= end && (!event || *timer <= *event);
             if (timerFirst) {
-                bench.platform.now = std::max(bench.platform.now, *timer);
-                bench.gates[0]->advance();
-                timer = bench.gates[0]->nextWake();
-            } else if (!bench.platform.step(end)) {
+                fixture.platform.now = std::max(fixture.platform.now, *timer);
+                fixture.gates[0]->advance();
+                timer = fixture.gates[0]->nextWake();
+            } else if (!fixture.platform.step(end)) {
                 break;
             }
         }
-        bench.platform.now = end;
+        fixture.platform.now = end;
     };
-    const auto answer = bench.claim(0, "k", "a1");
-    timer = bench.gates[0]->nextWake();
-    runUntil(bench.platform.now + Milliseconds(300));
-    cr_assert(answer->verdict == ClaimVerdict::Granted, "%s", answer->reason.c_str());
-    bench.gates[0]->finish("k", "a1", paid);
-    timer = bench.gates[0]->nextWake();
-    runUntil(bench.platform.now + Milliseconds(500));
-    cr_assert(stateOf(bench, "k") == "done");
-    cr_assert(!bench.gates[0]->nextWake(), "nothing is left to wait for");
+    const auto answer = fixture.claim(0, "k", "a1");
+    timer = fixture.gates[0]->nextWake();
+    runUntil(fixture.platform.now + Milliseconds(300));
+    cr_assert(answer->decision == ClaimDecision::Granted, "%s", answer->reason.c_str());
+    fixture.gates[0]->finish("k", "a1", paid);
+    timer = fixture.gates[0]->nextWake();
+    runUntil(fixture.platform.now + Milliseconds(500));
+    cr_assert(stateOf(fixture, "k") == "done");
+    cr_assert(!fixture.gates[0]->nextWake(), "nothing is left to wait for");
 }
 
 // A visitor's reservation on a quiet node must not wait for others that never come; a hundred at once must
 // not become a hundred requests.
 Test(claims, groupsOnlyWhenManyAreUnderWay)
 {
-    ClaimBench bench(1);
-    const auto first = bench.claim(0, "first", "a");
-    cr_assert(bench.platform.putRequests == 1); // No time has passed.
-    bench.run(Milliseconds(20));
-    bench.platform.putRequests = 0;
-    std::vector<std::shared_ptr<ClaimAnswer>> answers;
+    ClaimFixture fixture(1);
+    const auto first = fixture.claim(0, "first", "a");
+    cr_assert(fixture.platform.putRequests == 1); // No time has passed.
+    fixture.run(Milliseconds(20));
+    fixture.platform.putRequests = 0;
+    std::vector<std::shared_ptr<ClaimResponse>> answers;
     for (int i = 0; i < 100; ++i)
-        answers.push_back(bench.claim(0, "k" + std::to_string(i), "a"));
-    bench.run(Milliseconds(20));
+        answers.push_back(fixture.claim(0, "k" + std::to_string(i), "a"));
+    fixture.run(Milliseconds(20));
     for (const auto &answer : answers)
-        cr_assert(answer->verdict == ClaimVerdict::Granted, "%s", answer->reason.c_str());
-    const int requests = bench.platform.putRequests + bench.platform.transactRequests;
-    cr_assert(bench.platform.putRequests >= 16);
+        cr_assert(answer->decision == ClaimDecision::Granted, "%s", answer->reason.c_str());
+    const int requests = fixture.platform.putRequests + fixture.platform.transactRequests;
+    cr_assert(fixture.platform.putRequests >= 16);
     cr_assert(requests <= 20, "%d requests", requests);
 }
 
 TABLE_TEST(claims, keepsBodiesThatFit, bodyRows)
 {
-    ClaimBench bench(2);
-    bench.claim(0, "k", "a1");
-    bench.run(Milliseconds(20));
-    bench.gates[0]->finish("k", "a1", {200, "text/plain", row.body, true});
-    bench.run(Milliseconds(20));
-    const auto again = bench.claim(1, "k", "b1");
-    bench.run(Milliseconds(20));
-    cr_assert(again->verdict == ClaimVerdict::AlreadyDone, "%s", row.name);
+    ClaimFixture fixture(2);
+    fixture.claim(0, "k", "a1");
+    fixture.run(Milliseconds(20));
+    fixture.gates[0]->finish("k", "a1", {200, "text/plain", row.body, true});
+    fixture.run(Milliseconds(20));
+    const auto again = fixture.claim(1, "k", "b1");
+    fixture.run(Milliseconds(20));
+    cr_assert(again->decision == ClaimDecision::AlreadyDone, "%s", row.name);
     cr_assert(again->outcome.bodyKept == row.kept, "%s", row.name);
     cr_assert(again->outcome.body == (row.kept ? row.body : ""), "%s", row.name);
 }
--- a/Tests/LibSource/TestPublish.cpp
+++ b/Tests/LibSource/TestPublish.cpp
@@ -31,18 +31,18 @@
     return sites;
 }
 
-std::shared_ptr<std::optional<PublishReport>> publish(FakePlatform &platform, std::uint32_t queue,
+std::shared_ptr<std::optional<PublishResult>> publish(FakePlatform &platform, std::uint32_t queue,
                                                       const std::string &who,
                                                       std::optional<std::uint64_t> expected = std::nullopt)
 {
-    const auto report = std::make_shared<std::optional<PublishReport>>();
-    Publisher(platform.tablePort(), platform.objectPort(), platform.later())
+    const auto report = std::make_shared<std::optional<PublishResult>>();
+    Publisher(platform.tablePort(), platform.objectPort(), platform.scheduler())
         .publish(castle(queue), {expected, "id-" + who, who, 1},
-                 [report](const PublishReport &given) { *report = given; });
+                 [report](const PublishResult &given) { *report = given; });
     return report;
 }
 
-PublishReport publishNow(FakePlatform &platform, std::uint32_t queue, const std::string &who,
+PublishResult publishNow(FakePlatform &platform, std::uint32_t queue, const std::string &who,
                          std::optional<std::uint64_t> expected = std::nullopt)
 {
     const auto report = publish(platform, queue, who, expected);
@@ -86,27 +86,27 @@
 struct LostRow
 {
     const char *name;
-    std::deque<WriteFate> fates; // Of the transactions that move the head.
-    bool otherWins;              // Another operator's publish lands while this one is in doubt.
-    PublishVerdict verdict;
+    std::deque<WriteOutcome> fates; // Of the transactions that move the head.
+    bool otherWins;                 // Another operator's publish lands while this one is in doubt.
+    PublishOutcome outcome;
     std::uint64_t head; // Afterwards; the first publish made it 1.
 };
 
-using Fate = WriteFate;
+using Fate = WriteOutcome;
 
 const LostRow lostRows[] = {
-    {"answered", {}, false, PublishVerdict::Accepted, 2},
-    {"answer lost after the effect", {Fate::AnswerLost}, false, PublishVerdict::Accepted, 2},
-    {"answer lost, and another publishes after it", {Fate::AnswerLost}, true, PublishVerdict::Accepted, 3},
-    {"request lost", {Fate::RequestLost}, false, PublishVerdict::Accepted, 2},
-    {"request lost, and another wins", {Fate::RequestLost}, true, PublishVerdict::Conflict, 2},
-    {"effect after the read-back", {Fate::EffectLate}, false, PublishVerdict::Accepted, 2},
-    {"two copies land late", {Fate::EffectLate, Fate::EffectLate}, false, PublishVerdict::Accepted, 2},
-    {"late, and another wins before it lands", {Fate::EffectLate}, true, PublishVerdict::Conflict, 2},
+    {"answered", {}, false, PublishOutcome::Accepted, 2},
+    {"answer lost after the effect", {Fate::ResponseLost}, false, PublishOutcome::Accepted, 2},
+    {"answer lost, and another publishes after it", {Fate::ResponseLost}, true, PublishOutcome::Accepted, 3},
+    {"request lost", {Fate::RequestLost}, false, PublishOutcome::Accepted, 2},
+    {"request lost, and another wins", {Fate::RequestLost}, true, PublishOutcome::Conflict, 2},
+    {"effect after the read-back", {Fate::AppliedLate}, false, PublishOutcome::Accepted, 2},
+    {"two copies land late", {Fate::AppliedLate, Fate::AppliedLate}, false, PublishOutcome::Accepted, 2},
+    {"late, and another wins before it lands", {Fate::AppliedLate}, true, PublishOutcome::Conflict, 2},
     {"every request lost",
      {Fate::RequestLost, Fate::RequestLost, Fate::RequestLost, Fate::RequestLost, Fate::RequestLost},
      false,
-     PublishVerdict::Unknown,
+     PublishOutcome::Unknown,
      1},
 };
 
@@ -119,8 +119,8 @@
     FakePlatform platform;
     cr_assert(publishNow(platform, 7, "anna").version == 1);
     cr_assert(queueInForce(platform) == 7);
-    const PublishReport second = publishNow(platform, 8, "bent", 1);
-    cr_assert(second.verdict == PublishVerdict::Accepted);
+    const PublishResult second = publishNow(platform, 8, "bent", 1);
+    cr_assert(second.outcome == PublishOutcome::Accepted);
     cr_assert(second.version == 2);
     cr_assert(queueInForce(platform) == 8);
     std::vector<HistoryEntry> history;
@@ -139,12 +139,12 @@
 TABLE_TEST(publish, lostAnswersNeverLie, lostRows)
 {
     FakePlatform platform;
-    cr_assert(publishNow(platform, 7, "anna").verdict == PublishVerdict::Accepted);
+    cr_assert(publishNow(platform, 7, "anna").outcome == PublishOutcome::Accepted);
     auto fates = row.fates;
-    platform.fate = [&] {
+    platform.drawWriteOutcome = [&] {
         if (fates.empty())
-            return WriteFate::Answered;
-        const WriteFate next = fates.front();
+            return WriteOutcome::Acknowledged;
+        const WriteOutcome next = fates.front();
         fates.pop_front();
         return next;
     };
@@ -157,15 +157,15 @@
     }
     platform.run(longEnough);
     cr_assert(report->has_value(), "%s", row.name);
-    cr_assert((*report)->verdict == row.verdict, "%s: %s %s", row.name,
-              std::string(publishVerdictNames.name((*report)->verdict)).c_str(),
+    cr_assert((*report)->outcome == row.outcome, "%s: %s %s", row.name,
+              std::string(publishOutcomeNames.name((*report)->outcome)).c_str(),
               (*report)->error.message.c_str());
     cr_assert(headOf(platform).version == row.head, "%s", row.name);
-    if (row.verdict == PublishVerdict::Accepted) {
+    if (row.outcome == PublishOutcome::Accepted) {
         cr_assert((*report)->version == 2);
         cr_assert(operatorOf(platform, 2) == "bent", "%s", row.name);
     }
-    if (row.verdict == PublishVerdict::Conflict) {
+    if (row.outcome == PublishOutcome::Conflict) {
         cr_assert((*report)->winner.version == 2, "%s", row.name);
         cr_assert((*report)->winner.operatorName == "carl", "%s", row.name);
         cr_assert(operatorOf(platform, 2) == "carl", "%s", row.name);
@@ -177,14 +177,14 @@
 TABLE_TEST(publish, ofTwoOperatorsOneWins, seeds)
 {
     FakePlatform platform(row);
-    cr_assert(publishNow(platform, 7, "anna").verdict == PublishVerdict::Accepted);
+    cr_assert(publishNow(platform, 7, "anna").outcome == PublishOutcome::Accepted);
     const auto first = publish(platform, 8, "bent", 1);
     const auto second = publish(platform, 9, "carl", 1);
     platform.run(longEnough);
-    const bool bentWon = (*first)->verdict == PublishVerdict::Accepted;
-    const PublishReport &loser = bentWon ? **second : **first;
-    cr_assert(bentWon || (*second)->verdict == PublishVerdict::Accepted);
-    cr_assert(loser.verdict == PublishVerdict::Conflict);
+    const bool bentWon = (*first)->outcome == PublishOutcome::Accepted;
+    const PublishResult &loser = bentWon ? **second : **first;
+    cr_assert(bentWon || (*second)->outcome == PublishOutcome::Accepted);
+    cr_assert(loser.outcome == PublishOutcome::Conflict);
     cr_assert(loser.winner.version == 2);
     cr_assert(loser.winner.operatorName == (bentWon ? "bent" : "carl"));
     cr_assert(headOf(platform).version == 2);
@@ -197,11 +197,11 @@
 {
     FakePlatform platform(row);
     std::mt19937 random(row + 100);
-    platform.fate = [&] {
-        const WriteFate fates[] = {Fate::AnswerLost, Fate::RequestLost, Fate::EffectLate};
-        return random() % 100 < 50 ? fates[random() % 3] : Fate::Answered;
+    platform.drawWriteOutcome = [&] {
+        const WriteOutcome fates[] = {Fate::ResponseLost, Fate::RequestLost, Fate::AppliedLate};
+        return random() % 100 < 50 ? fates[random() % 3] : Fate::Acknowledged;
     };
-    std::vector<std::pair<std::string, std::shared_ptr<std::optional<PublishReport>>>> reports;
+    std::vector<std::pair<std::string, std::shared_ptr<std::optional<PublishResult>>>> reports;
     for (std::uint32_t i = 0; i < 60; ++i) {
         const std::string who = "operator-" + std::to_string(i);
         reports.emplace_back(who, publish(platform, i + 1, who));
@@ -214,13 +214,13 @@
         bool inHistory = false;
         for (std::uint64_t version = 1; version <= headOf(platform).version; ++version)
             inHistory = inHistory || operatorOf(platform, version) == who;
-        const PublishVerdict verdict = (*report)->verdict;
-        accepted += verdict == PublishVerdict::Accepted ? 1 : 0;
-        if (verdict == PublishVerdict::Accepted)
+        const PublishOutcome outcome = (*report)->outcome;
+        accepted += outcome == PublishOutcome::Accepted ? 1 : 0;
+        if (outcome == PublishOutcome::Accepted)
             cr_assert(operatorOf(platform, (*report)->version) == who, "seed %u %s", row, who.c_str());
-        else if (verdict != PublishVerdict::Unknown)
+        else if (outcome != PublishOutcome::Unknown)
             cr_assert(!inHistory, "seed %u %s: %s but in the history", row, who.c_str(),
-                      std::string(publishVerdictNames.name(verdict)).c_str());
+                      std::string(publishOutcomeNames.name(outcome)).c_str());
     }
     cr_assert(accepted > 5, "seed %u: %d accepted", row, accepted);
 }
@@ -231,8 +231,8 @@
     FakePlatform platform;
     publishNow(platform, 7, "anna");
     publishNow(platform, 8, "bent");
-    const PublishReport report = publishNow(platform, 9, "carl", 1);
-    cr_assert(report.verdict == PublishVerdict::Conflict);
+    const PublishResult report = publishNow(platform, 9, "carl", 1);
+    cr_assert(report.outcome == PublishOutcome::Conflict);
     cr_assert(report.winner.version == 2 && report.winner.operatorName == "bent");
     cr_assert(queueInForce(platform) == 8);
 }
@@ -243,22 +243,22 @@
     publishNow(platform, 7, "anna");
     publishNow(platform, 8, "bent");
     const auto roll = [&](std::uint64_t to) {
-        PublishReport report;
-        Publisher(platform.tablePort(), platform.objectPort(), platform.later())
-            .rollback(to, {2, "id-roll", "dora", 1}, [&](const PublishReport &given) { report = given; });
+        PublishResult report;
+        Publisher(platform.tablePort(), platform.objectPort(), platform.scheduler())
+            .rollback(to, {2, "id-roll", "dora", 1}, [&](const PublishResult &given) { report = given; });
         platform.run(longEnough);
         return report;
     };
     cr_assert(roll(2).error.kind == ErrorKind::InvalidInput);
     cr_assert(roll(9).error.kind == ErrorKind::InvalidInput);
     const int writesBefore = platform.objectWrites;
-    const PublishReport report = roll(1);
-    cr_assert(report.verdict == PublishVerdict::Accepted);
+    const PublishResult report = roll(1);
+    cr_assert(report.outcome == PublishOutcome::Accepted);
     cr_assert(report.version == 3);
     cr_assert(platform.objectWrites - writesBefore == 1);
     cr_assert(queueInForce(platform) == 7);
     cr_assert(parseHistory(*platform.row(historyKey(3))).value().rolledBackTo == 1);
-    cr_assert(roll(1).verdict == PublishVerdict::Conflict); // Over 2, but 3 is in force.
+    cr_assert(roll(1).outcome == PublishOutcome::Conflict); // Over 2, but 3 is in force.
 }
 
 // The platform is down, or a site does not check. Nothing is accepted, and the operator is told so.
@@ -267,19 +267,19 @@
     FakePlatform platform;
     publishNow(platform, 7, "anna");
     platform.down = true;
-    cr_assert(publishNow(platform, 8, "bent").verdict == PublishVerdict::Failed);
+    cr_assert(publishNow(platform, 8, "bent").outcome == PublishOutcome::Failed);
     platform.down = false;
     platform.objectsDown = true;
-    cr_assert(publishNow(platform, 8, "bent").verdict == PublishVerdict::Failed);
+    cr_assert(publishNow(platform, 8, "bent").outcome == PublishOutcome::Failed);
     cr_assert(headOf(platform).version == 1); // A head without its objects would hold up every node.
     platform.objectsDown = false;
     std::vector<RenderedSite> bad = castle(8);
     bad[0].sections[1].routes[0].prefix = bad[0].sections[0].routes[0].prefix;
-    PublishReport report;
-    Publisher(platform.tablePort(), platform.objectPort(), platform.later())
-        .publish(bad, {1, "id-bad", "bent", 1}, [&](const PublishReport &given) { report = given; });
+    PublishResult report;
+    Publisher(platform.tablePort(), platform.objectPort(), platform.scheduler())
+        .publish(bad, {1, "id-bad", "bent", 1}, [&](const PublishResult &given) { report = given; });
     platform.run(longEnough);
-    cr_assert(report.verdict == PublishVerdict::Failed);
+    cr_assert(report.outcome == PublishOutcome::Failed);
     cr_assert(report.error.kind == ErrorKind::InvalidInput);
     cr_assert(headOf(platform).version == 1);
 }
@@ -289,18 +289,18 @@
 {
     FakePlatform platform;
     const auto publishSites = [&](std::uint32_t queue) {
-        PublishReport report;
-        Publisher(platform.tablePort(), platform.objectPort(), platform.later())
+        PublishResult report;
+        Publisher(platform.tablePort(), platform.objectPort(), platform.scheduler())
             .publish(castle(queue, 820, 4), {std::nullopt, "id-" + std::to_string(queue), "anna", 1},
-                     [&](const PublishReport &given) { report = given; });
+                     [&](const PublishResult &given) { report = given; });
         platform.run(longEnough);
-        return report.verdict;
+        return report.outcome;
     };
-    cr_assert(publishSites(1) == PublishVerdict::Accepted);
+    cr_assert(publishSites(1) == PublishOutcome::Accepted);
     cr_assert(platform.objectWrites == 820 + 4 - 3 + 1); // The four sites are alike, so one list.
     platform.objectWrites = 0;
     platform.itemsWritten = 0;
-    cr_assert(publishSites(2) == PublishVerdict::Accepted);
+    cr_assert(publishSites(2) == PublishOutcome::Accepted);
     cr_assert(platform.objectWrites == 3, "%d", platform.objectWrites); // Section, list and manifest.
     cr_assert(platform.itemsWritten == 2);
 }
--- a/Tests/LibSource/TestStoreEra.cpp
+++ b/Tests/LibSource/TestStoreEra.cpp
@@ -50,13 +50,13 @@
     StoreEra era;
     std::vector<std::uint64_t> told;
     int doubts = 0;
-    era.listen([&told](const EraRise &rise) { told.push_back(rise.now); });
-    era.listenForDoubts([&doubts](const Error &) { ++doubts; });
+    era.addChangeListener([&told](const EraChange &rise) { told.push_back(rise.current); });
+    era.setSuspectListener([&doubts](const Error &) { ++doubts; });
     for (const Word &word : row.words) {
         if (word.fromPeer)
-            era.heard(std::stoull(word.text));
+            era.observePeerEra(std::stoull(word.text));
         else
-            era.answered(word.text, "store");
+            era.observeResponse(word.text, "store");
     }
     cr_assert(told == row.told && era.highest() == row.highest && doubts == row.doubts, "%s", row.what);
 }
--- a/Tests/Node/TestLocalGate.cpp
+++ b/Tests/Node/TestLocalGate.cpp
@@ -22,17 +22,17 @@
 
 struct ClaimRow
 {
-    ClaimVerdict verdict;
+    ClaimDecision decision;
     Outcome outcome;
     std::uint32_t status;
     bool replayed;
 };
 
 const ClaimRow claimRows[] = {
-    {ClaimVerdict::AlreadyDone, Outcome::Done, 201, true},
-    {ClaimVerdict::InProgress, Outcome::Unknown, 409, false},
-    {ClaimVerdict::Unknown, Outcome::Unknown, 504, false},
-    {ClaimVerdict::NotRun, Outcome::NotRun, 503, false},
+    {ClaimDecision::AlreadyDone, Outcome::Done, 201, true},
+    {ClaimDecision::InProgress, Outcome::Unknown, 409, false},
+    {ClaimDecision::Unknown, Outcome::Unknown, 504, false},
+    {ClaimDecision::NotRun, Outcome::NotRun, 503, false},
 };
 
 } // namespace
@@ -104,8 +104,8 @@
     GateFixture fixture;
     fixture.submit("again", CallClass::NonIdempotent, "key-1");
     cr_assert(fixture.claims.size() == 1);
-    ClaimAnswer answer;
-    answer.verdict = row.verdict;
+    ClaimResponse answer;
+    answer.decision = row.decision;
     answer.outcome = {201, "text/plain", "reserved", true};
     answer.retryAfter = Milliseconds(1500);
     fixture.claims[0](answer);
@@ -125,7 +125,7 @@
     GateFixture fixture;
     fixture.submit("late", CallClass::NonIdempotent, "key-1", Milliseconds(500));
     std::this_thread::sleep_for(Milliseconds(550));
-    fixture.claims[0]({ClaimVerdict::Granted, {}, {}, {}});
+    fixture.claims[0]({ClaimDecision::Granted, {}, {}, {}});
     cr_assert(fixture.runUntil([&] { return fixture.answered("late"); }));
     cr_assert(fixture.answers["late"].outcome == Outcome::NotRun);
     cr_assert(fixture.answers["late"].claimHeld);
@@ -161,7 +161,7 @@
 {
     GateFixture fixture;
     fixture.submit("one", CallClass::NonIdempotent, "key-1");
-    fixture.claims[0]({ClaimVerdict::Granted, {}, {}, {}});
+    fixture.claims[0]({ClaimDecision::Granted, {}, {}, {}});
     cr_assert(fixture.runUntil([&] { return fixture.receivedRequests.size() == 1; }));
     fixture.exchanges[0]->respond(makeResponse(201, "text/plain", "reserved"));
     cr_assert(fixture.runUntil([&] { return fixture.answered("one"); }));
@@ -175,7 +175,7 @@
 {
     GateFixture fixture;
     fixture.submit("one", CallClass::NonIdempotent, "key-1");
-    fixture.claims[0]({ClaimVerdict::Granted, {}, {}, {}});
+    fixture.claims[0]({ClaimDecision::Granted, {}, {}, {}});
     cr_assert(fixture.runUntil([&] { return fixture.receivedRequests.size() == 1; }));
     fixture.upstream.closeAll();
     cr_assert(fixture.runUntil([&] { return fixture.answered("one"); }));
@@ -192,7 +192,7 @@
     GateFixture fixture;
     fixture.gate.announce({"booking", "127.0.0.1:1", 1, UpstreamCondition::Ready});
     fixture.submit("one", CallClass::NonIdempotent, "key-1");
-    fixture.claims[0]({ClaimVerdict::Granted, {}, {}, {}});
+    fixture.claims[0]({ClaimDecision::Granted, {}, {}, {}});
     cr_assert(fixture.runUntil([&] { return fixture.answered("one"); }));
     cr_assert(fixture.answers["one"].outcome == Outcome::NotRun);
     cr_assert(fixture.released == fixture.claimedKeys);
@@ -260,7 +260,7 @@
 {
     GateFixture fixture;
     const auto call = fixture.submit("one", CallClass::NonIdempotent, "key-1");
-    fixture.claims[0]({ClaimVerdict::Granted, {}, {}, {}});
+    fixture.claims[0]({ClaimDecision::Granted, {}, {}, {}});
     cr_assert(fixture.runUntil([&] { return fixture.receivedRequests.size() == 1; }));
     fixture.gate.cancel(call);
     fixture.exchanges[0]->respond(makeResponse(201, "text/plain", "reserved"));
--- a/Tests/Platform/StoreFixture.h
+++ b/Tests/Platform/StoreFixture.h
@@ -52,7 +52,7 @@
 
     Result<Head> newest(const VersionSource &source, const HeadQuery &query)
     {
-        return this->await<Result<Head>>([&](auto done) { source.newest(query, done); });
+        return this->await<Result<Head>>([&](auto done) { source.readHead(query, done); });
     }
 
     // Runs what is due until the condition holds; false when it does not within the time.
--- a/Tests/Platform/TestRowsStore.cpp
+++ b/Tests/Platform/TestRowsStore.cpp
@@ -77,7 +77,7 @@
     cr_assert(fixture.newest(source, {}).value().version == 3);
 
     auto pending = fixture.await<Result<Head>>([&](auto done) {
-        source.newest({3, std::chrono::seconds(2), false}, done);
+        source.readHead({3, std::chrono::seconds(2), false}, done);
         boost::asio::post(fixture.context, [&] { fixture.service.putConfiguration(document(5)); });
     });
     cr_assert(pending.value().version == 5);
--- a/Tests/Platform/TestStoreReturn.cpp
+++ b/Tests/Platform/TestStoreReturn.cpp
@@ -100,8 +100,8 @@
 {
     ReturnFixture fixture;
     std::optional<Result<Head>> seen;
-    fixture.source.newest({5, std::chrono::seconds(20), false},
-                          [&seen](Result<Head> head) { seen.emplace(head); });
+    fixture.source.readHead({5, std::chrono::seconds(20), false},
+                            [&seen](Result<Head> head) { seen.emplace(head); });
     fixture.runUntil([] { return false; }, Milliseconds(100));
     cr_assert(fixture.service.returnFromCopy({.forgetsWatches = true}));
     fixture.service.putConfiguration(document(8));
@@ -116,7 +116,7 @@
 {
     ReturnFixture fixture;
     std::vector<std::string> doubts;
-    fixture.client->era()->listenForDoubts(
+    fixture.client->era()->setSuspectListener(
         [&doubts](const Error &error) { doubts.push_back(error.message); });
     cr_assert(fixture.service.returnFromCopy({}));
     fixture.expectNewest(5, {5, hold, false});
@@ -139,8 +139,8 @@
 {
     StoreFixture fixture;
     int told = 0;
-    fixture.client->era()->listen([&told](const EraRise &) { ++told; });
-    fixture.client->era()->listenForDoubts([&told](const Error &) { ++told; });
+    fixture.client->era()->addChangeListener([&told](const EraChange &) { ++told; });
+    fixture.client->era()->setSuspectListener([&told](const Error &) { ++told; });
     fixture.service.stateEra("");
     cr_assert(fixture.rows("t").has_value());
     cr_assert(told == 0 && !fixture.client->era()->highest());
@@ -219,8 +219,8 @@
         // One that is under way at the return.
         bool ended = draw(1) == 0;
         if (!ended)
-            fixture.source.newest({seen, Milliseconds(100), false},
-                                  [&ended](const Result<Head> &) { ended = true; });
+            fixture.source.readHead({seen, Milliseconds(100), false},
+                                    [&ended](const Result<Head> &) { ended = true; });
         fixture.runUntil([] { return false; }, Milliseconds(draw(10)));
         ReturnSettings settings;
         settings.away = Milliseconds(draw(20));
--- a/Utilities/ConfigBench/Platform.cpp
+++ b/Utilities/ConfigBench/Platform.cpp
@@ -57,7 +57,7 @@
     std::uint64_t lastVersion = 0;
 
 private:
-    Later later()
+    Scheduler later()
     {
         return [this](Duration delay, std::function<void()> event) {
             const auto timer = std::make_shared<boost::asio::steady_timer>(this->context, delay);
@@ -71,15 +71,15 @@
     {
         const PlatformCounters before = this->client.counters();
         const Instant began = SteadyClock::now();
-        std::optional<PublishReport> report;
-        start([&](const PublishReport &given) { report = given; });
+        std::optional<PublishResult> report;
+        start([&](const PublishResult &given) { report = given; });
         this->context.restart();
         while (!report && this->context.run_one() > 0) {
         }
         const std::chrono::duration<double, std::milli> took = SteadyClock::now() - began;
         const PlatformCounters after = this->client.counters();
         this->lastVersion = report->version;
-        std::cout << what << ": " << publishVerdictNames.name(report->verdict) << ", object writes "
+        std::cout << what << ": " << publishOutcomeNames.name(report->outcome) << ", object writes "
                   << after.objectWrites - before.objectWrites << ", object reads "
                   << after.objectReads - before.objectReads << ", rows written "
                   << after.tableWrites - before.tableWrites << ", row reads "
@@ -109,7 +109,7 @@
         this->began = SteadyClock::now();
         this->total = std::size_t{this->benchSettings.rate} * this->benchSettings.seconds;
         this->step();
-        while (this->answered < this->total || this->keeper.settlingCount() > 0)
+        while (this->answered < this->total || this->keeper.pendingFinalizations() > 0)
             this->context.run_one();
         this->print();
     }
@@ -118,11 +118,11 @@
     static ClaimSettings claimSettings(const BenchSettings &settings)
     {
         ClaimSettings claims;
-        claims.grouping.maximumGroup = settings.group;
-        claims.grouping.requestsBeforeGrouping = settings.alone;
-        claims.grouping.window = Milliseconds(settings.window);
+        claims.batching.maximumBatchSize = settings.group;
+        claims.batching.requestsBeforeBatching = settings.alone;
+        claims.batching.window = Milliseconds(settings.window);
         claims.maximumWaiting = 100000;
-        claims.settling.maximumWaiting = 100000;
+        claims.finalizing.maximumWaiting = 100000;
         return claims;
     }
 
@@ -150,9 +150,9 @@
         const std::string key = this->prefix + std::to_string(call);
         this->keeper.claim(
             key, key, SteadyClock::now() + std::chrono::seconds(2),
-            [this, key, due = this->dueAt(call)](const ClaimAnswer &answer) {
+            [this, key, due = this->dueAt(call)](const ClaimResponse &answer) {
                 ++this->answered;
-                if (answer.verdict != ClaimVerdict::Granted)
+                if (answer.decision != ClaimDecision::Granted)
                     return;
                 this->latencies.push_back(
                     std::chrono::duration<double, std::milli>(SteadyClock::now() - due).count());
@@ -177,7 +177,7 @@
     const BenchSettings benchSettings;
     boost::asio::io_context context{1};
     PlatformClient client;
-    ClaimKeeper keeper;
+    ClaimManager keeper;
     boost::asio::steady_timer tick;
     const std::string prefix = uniqueText() + "-";
     Instant began;
--- a/Utilities/Ctl/Commands.cpp
+++ b/Utilities/Ctl/Commands.cpp
@@ -25,40 +25,40 @@
     return text;
 }
 
-PublishFacts factsOf(const Arguments &arguments)
+PublishRequest factsOf(const Arguments &arguments)
 {
     const auto now = std::chrono::system_clock::now().time_since_epoch();
     const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(now).count();
     return {arguments.expected, makePublishId(), arguments.operatorName, static_cast<std::uint64_t>(seconds)};
 }
 
-void recordReport(const Arguments &arguments, const PublishReport &report)
+void recordReport(const Arguments &arguments, const PublishResult &report)
 {
     HistoryRecorder recorder(processName, arguments.events);
-    if (report.verdict == PublishVerdict::Accepted)
+    if (report.outcome == PublishOutcome::Accepted)
         recorder.record([&] { return PublishAccepted{report.version, report.publishId}; });
-    else if (report.verdict != PublishVerdict::Unknown)
+    else if (report.outcome != PublishOutcome::Unknown)
         recorder.record([&] {
             return PublishRefused{report.version, report.publishId, report.winner.publishId};
         });
 }
 
-void logReport(const Arguments &arguments, const PublishReport &report)
+void logReport(const Arguments &arguments, const PublishResult &report)
 {
     EventLog log(processName, {});
     const LogField who("operator", arguments.operatorName);
     const LogField id("publish_id", report.publishId);
-    if (report.verdict == PublishVerdict::Accepted)
+    if (report.outcome == PublishOutcome::Accepted)
         log.write(EventId::PublishAccepted, {who, id, {"version", report.version}});
-    else if (report.verdict == PublishVerdict::Conflict)
+    else if (report.outcome == PublishOutcome::Conflict)
         log.write(
             EventId::PublishRefused,
             {who, id, {"winner", report.winner.version}, {"winner_operator", report.winner.operatorName}});
-    else if (report.verdict == PublishVerdict::Unknown)
+    else if (report.outcome == PublishOutcome::Unknown)
         log.write(EventId::PublishUncertain, {who, id, {"version", report.version}});
 }
 
-ExitCode finish(const Arguments &arguments, const Printer &printer, const PublishReport &report)
+ExitCode finish(const Arguments &arguments, const Printer &printer, const PublishResult &report)
 {
     recordReport(arguments, report);
     logReport(arguments, report);
@@ -83,7 +83,7 @@
     }
     Session session(arguments.platform);
     const Publisher publisher(session.table(), session.objects(), session.later());
-    const auto report = session.wait<PublishReport>([&](const PublishCallback &callback) {
+    const auto report = session.wait<PublishResult>([&](const PublishCallback &callback) {
         publisher.publish(std::move(rendered.sites), factsOf(arguments), callback);
     });
     return finish(arguments, printer, report);
@@ -93,7 +93,7 @@
 {
     Session session(arguments.platform);
     const Publisher publisher(session.table(), session.objects(), session.later());
-    const auto report = session.wait<PublishReport>([&](const PublishCallback &callback) {
+    const auto report = session.wait<PublishResult>([&](const PublishCallback &callback) {
         publisher.rollback(*arguments.to, factsOf(arguments), callback);
     });
     return finish(arguments, printer, report);
--- a/Utilities/Ctl/ExitCode.cpp
+++ b/Utilities/Ctl/ExitCode.cpp
@@ -23,16 +23,16 @@
     return ExitCode::Internal;
 }
 
-ExitCode exitCodeOf(const PublishReport &report)
+ExitCode exitCodeOf(const PublishResult &report)
 {
-    switch (report.verdict) {
-    case PublishVerdict::Accepted:
+    switch (report.outcome) {
+    case PublishOutcome::Accepted:
         return ExitCode::Success;
-    case PublishVerdict::Conflict:
+    case PublishOutcome::Conflict:
         return ExitCode::Conflict;
-    case PublishVerdict::Unknown:
+    case PublishOutcome::Unknown:
         return ExitCode::Unknown;
-    case PublishVerdict::Failed:
+    case PublishOutcome::Failed:
         break;
     }
     return exitCodeOf(report.error);
--- a/Utilities/Ctl/ExitCode.h
+++ b/Utilities/Ctl/ExitCode.h
@@ -47,7 +47,7 @@
 }};
 
 ExitCode exitCodeOf(const Error &error);
-ExitCode exitCodeOf(const PublishReport &report);
+ExitCode exitCodeOf(const PublishResult &report);
 
 // The table for --help.
 std::string exitCodeHelp();
--- a/Utilities/Ctl/Print.cpp
+++ b/Utilities/Ctl/Print.cpp
@@ -105,22 +105,22 @@
     return text;
 }
 
-std::string reportText(const PublishReport &report)
+std::string reportText(const PublishResult &report)
 {
-    switch (report.verdict) {
-    case PublishVerdict::Accepted:
+    switch (report.outcome) {
+    case PublishOutcome::Accepted:
         return "accepted: version " + std::to_string(report.version) + " (publish id " + report.publishId
                + ")";
-    case PublishVerdict::Conflict:
+    case PublishOutcome::Conflict:
         return "conflict: " + winnerText(report.winner)
                + " was accepted first. Nothing was published. Run diff, merge, and publish again with "
                  "--expect "
                + std::to_string(report.winner.version);
-    case PublishVerdict::Unknown:
+    case PublishOutcome::Unknown:
         return "unknown: no answer to the write of version " + std::to_string(report.version)
                + ", and it may still take effect. It was accepted if history shows publish id "
                + report.publishId + ". Last error: " + report.error.describe();
-    case PublishVerdict::Failed:
+    case PublishOutcome::Failed:
         break;
     }
     return "failed: nothing took effect: " + report.error.describe();
@@ -278,19 +278,19 @@
     }
 }
 
-void Printer::report(const PublishReport &report) const
+void Printer::report(const PublishResult &report) const
 {
     if (!this->json) {
-        std::ostream &stream = report.verdict == PublishVerdict::Accepted ? this->out : this->errors;
+        std::ostream &stream = report.outcome == PublishOutcome::Accepted ? this->out : this->errors;
         stream << reportText(report) << "\n";
         return;
     }
-    json::object object{{"verdict", publishVerdictNames.name(report.verdict)},
+    json::object object{{"verdict", publishOutcomeNames.name(report.outcome)},
                         {"version", report.version},
                         {"publish_id", report.publishId}};
-    if (report.verdict == PublishVerdict::Conflict)
+    if (report.outcome == PublishOutcome::Conflict)
         object["winner"] = entryJson(report.winner);
-    if (report.verdict == PublishVerdict::Failed || report.verdict == PublishVerdict::Unknown)
+    if (report.outcome == PublishOutcome::Failed || report.outcome == PublishOutcome::Unknown)
         object["error"] = report.error.describe();
     this->out << object << "\n";
 }
--- a/Utilities/Ctl/Print.h
+++ b/Utilities/Ctl/Print.h
@@ -35,7 +35,7 @@
     void changes(const std::vector<Change> &changes) const;
     void status(const Head &head, const std::vector<NodeAnswer> &nodes) const;
     void history(const std::vector<HistoryEntry> &entries) const;
-    void report(const PublishReport &report) const;
+    void report(const PublishResult &report) const;
     void drained(const std::string &node, const std::string &answer) const;
 
 private:
--- a/Utilities/Ctl/Session.cpp
+++ b/Utilities/Ctl/Session.cpp
@@ -14,7 +14,7 @@
 {
 }
 
-Later Session::later()
+Scheduler Session::later()
 {
     return [this](Duration delay, std::function<void()> event) {
         const auto timer = std::make_shared<boost::asio::steady_timer>(this->context, delay);
--- a/Utilities/Ctl/Session.h
+++ b/Utilities/Ctl/Session.h
@@ -20,7 +20,7 @@
 
     TablePort table() { return this->platform.tablePort(); }
     ObjectPort objects() { return this->platform.objectPort(); }
-    Later later();
+    Scheduler later();
 
     // Starts the step and runs until it has called back.
     template <typename T>
@@ -39,7 +39,7 @@
     Result<T> read(const std::function<void(std::function<void(Result<T>)>)> &start)
     {
         return this->wait<Result<T>>([&](std::function<void(Result<T>)> callback) {
-            withRetries<T>(RetryPlan{}, this->later(), start, std::move(callback));
+            withRetries<T>(RetryPolicy{}, this->later(), start, std::move(callback));
         });
     }
 
--- a/Utilities/FleetBench/Publish.cpp
+++ b/Utilities/FleetBench/Publish.cpp
@@ -50,7 +50,7 @@
     void next()
     {
         if (this->waiting.empty())
-            return this->moveHead();
+            return this->advanceHead();
         const Object object = std::move(this->waiting.front());
         this->waiting.pop_front();
         this->objects.put(object.name, object.bytes,
@@ -62,11 +62,11 @@
                           });
     }
 
-    void moveHead()
+    void advanceHead()
     {
         this->table.putIf({this->head, {}}, [self = this->shared_from_this()](const Result<void> &written) {
             if (!written)
-                return self->later([self] { self->moveHead(); });
+                return self->later([self] { self->advanceHead(); });
             const auto time = SteadyClock::now().time_since_epoch();
             std::cout << std::chrono::duration_cast<std::chrono::nanoseconds>(time).count() << "\n";
             self->result = 0;
