--- a/Services/Node/Admin/AdminFrontend.h
+++ b/Services/Node/Admin/AdminFrontend.h
@@ -14,8 +14,8 @@
 struct AdminHooks
 {
     // Commands.
-    std::function<AnnouncementVerdict(const UpstreamAnnouncement &, UpstreamState)> announced;
-    std::function<AnnouncementVerdict(const std::string &instance)> left;
+    std::function<AnnouncementResult(const UpstreamAnnouncement &, UpstreamState)> announced;
+    std::function<AnnouncementResult(const std::string &instance)> left;
     std::function<void(const Error &)> announcementRefused;
     std::function<void()> drain;
     // Queries.
--- a/Services/Node/Admin/NodeStatus.cpp
+++ b/Services/Node/Admin/NodeStatus.cpp
@@ -69,7 +69,7 @@
           {"bytes", control.pulledBytes},
           {"whole", control.wholePulls},
           {"served", control.pullsServed},
-          {"turned_away", control.pullsTurnedAway},
+          {"turned_away", control.pullsRefused},
           {"bytes_served", control.pullBytesServed}}},
         {"refused_versions", control.refusedVersions},
         {"platform",
--- a/Services/Node/Admin/SettingsReload.cpp
+++ b/Services/Node/Admin/SettingsReload.cpp
@@ -10,7 +10,7 @@
 // Kept of the time before the process is killed: a sixth, and at least the last answers and the process's
 // end.
 constexpr int partsOfTime = 6;
-constexpr Duration shortestEnd = lastAnswersTime + Milliseconds(100);
+constexpr Duration shortestEnd = finalResponseTime + Milliseconds(100);
 
 } // namespace
 
--- a/Services/Node/Callers/CallerFrontend.cpp
+++ b/Services/Node/Callers/CallerFrontend.cpp
@@ -219,7 +219,7 @@
     for (Header &header : request.headers) {
         // The gate sets these itself; in particular, a caller's claim about its origin is not trusted.
         const bool writtenByNode =
-            isHopHeader(header.name)
+            isHopByHopHeader(header.name)
             || isOneOf(header.name, {this->names.callId, this->names.deadline, this->names.attempt,
                                      this->names.idempotencyKey, this->names.trace,
                                      this->names.expectedInstance, this->names.originService});
@@ -251,7 +251,7 @@
     result.headers = std::move(response.headers);
     result.body = std::move(response.body);
     std::erase_if(result.headers, [this](const Header &header) {
-        return isHopHeader(header.name)
+        return isHopByHopHeader(header.name)
                || isOneOf(header.name, {this->names.callId, this->names.trace, this->names.outcome});
     });
     const auto add = [&result](const std::string &name, std::string value) {
--- a/Services/Node/Control/ControlClient.cpp
+++ b/Services/Node/Control/ControlClient.cpp
@@ -13,14 +13,14 @@
 {
     std::shared_ptr<FramedConnection> connection;
     boost::asio::steady_timer timer;
-    std::function<void(Result<PulledAnswer>)> done; // Empty once called.
+    std::function<void(Result<PullResult>)> done; // Empty once called.
 
     explicit Pull(boost::asio::io_context &context)
         : timer(context)
     {
     }
 
-    void finish(Result<PulledAnswer> result)
+    void finish(Result<PullResult> result)
     {
         if (!this->done)
             return;
@@ -43,7 +43,7 @@
             response = makeError(ErrorKind::InvalidInput, "read pull response", peer, "not a pull response");
         const std::uint64_t bytes = payload.size() + frameHeaderSize;
         if (response)
-            pull->finish(PulledAnswer{std::move(response).assume_value(), bytes});
+            pull->finish(PullResult{std::move(response).assume_value(), bytes});
         else
             pull->finish(std::move(response).assume_error());
         pull->connection->close(makeError(ErrorKind::Unavailable, "pull", "", "done"));
@@ -58,7 +58,7 @@
 } // namespace
 
 void pullFromPeer(boost::asio::io_context &context, const std::string &address, const PullRequest &request,
-                  std::function<void(Result<PulledAnswer>)> done)
+                  std::function<void(Result<PullResult>)> done)
 {
     auto pull = std::make_shared<Pull>(context);
     pull->done = std::move(done);
--- a/Services/Node/Control/ControlClient.h
+++ b/Services/Node/Control/ControlClient.h
@@ -14,13 +14,13 @@
 
 inline constexpr Duration pullTimeout = Milliseconds(3000); // For the whole of it, connecting included.
 
-struct PulledAnswer
+struct PullResult
 {
     PullResponse response;
     std::uint64_t receivedBytes = 0;
 };
 
 void pullFromPeer(boost::asio::io_context &context, const std::string &address, const PullRequest &request,
-                  std::function<void(Result<PulledAnswer>)> done);
+                  std::function<void(Result<PullResult>)> done);
 
 } // namespace Sagecrank
--- a/Services/Node/Control/ControlFollower.cpp
+++ b/Services/Node/Control/ControlFollower.cpp
@@ -86,10 +86,10 @@
     this->advanceTimer.cancel();
 }
 
-void ControlFollower::heard(const ConfigurationVersion &mark)
+void ControlFollower::versionAnnounced(const ConfigurationVersion &mark)
 {
     this->plan.setTarget(mark, SteadyClock::now());
-    this->considerPull();
+    this->pullIfNeeded();
 }
 
 std::uint64_t ControlFollower::heldVersion() const
@@ -147,14 +147,15 @@
 void ControlFollower::headRead(const HeadRead &read, std::uint64_t known, const Head &found)
 {
     const Instant now = SteadyClock::now();
-    if (this->poll.consecutiveFailures() != 0 && this->hooks.sourceBack)
-        this->hooks.sourceBack({now - this->sourceAnswered, this->poll.consecutiveFailures(), found.version});
+    if (this->poll.consecutiveFailures() != 0 && this->hooks.sourceRecovered)
+        this->hooks.sourceRecovered(
+            {now - this->sourceAnswered, this->poll.consecutiveFailures(), found.version});
     this->sourceAnswered = now;
     this->poll.answered(now, this->poller(), read.number, found.version > known);
     const ConfigurationVersion mark{found.version, found.digest.high, found.digest.low};
     this->plan.sourceReported(mark, now);
     if (mark.version != 0)
-        this->hooks.headSeen(mark);
+        this->hooks.headRead(mark);
 }
 
 void ControlFollower::headReadFailed(const HeadRead &read, const Error &error, Duration waited)
@@ -190,7 +191,7 @@
     const std::uint64_t held = this->heldVersion();
     if (held == 0 && now - this->started > settleAfter && !this->plan.hasOpenPulls())
         this->wantAgreedVersion(now);
-    this->considerPull();
+    this->pullIfNeeded();
     this->considerRank(now);
     this->advanceTimer.expires_after(advanceInterval);
     this->advanceTimer.async_wait([this](const boost::system::error_code &error) {
@@ -207,7 +208,7 @@
         this->pollLater();
 }
 
-void ControlFollower::considerPull()
+void ControlFollower::pullIfNeeded()
 {
     const std::uint64_t held = this->heldVersion();
     if (this->stopped || this->plan.targetVersion().version <= held)
@@ -277,12 +278,12 @@
     const PullRequest request{this->nodeId, this->site, held + 1, held};
     const std::string peer = step.holder.controlAddress;
     const std::uint64_t number = step.number;
-    Sagecrank::pullFromPeer(this->context, peer, request, [this, peer, number](Result<PulledAnswer> answer) {
+    Sagecrank::pullFromPeer(this->context, peer, request, [this, peer, number](Result<PullResult> answer) {
         if (this->stopped || !this->plan.isOpen(number))
             return;
         if (!answer)
             return this->fail(number, answer.assume_error(), PullFailure::Unreachable);
-        const PulledAnswer &pulled = answer.assume_value();
+        const PullResult &pulled = answer.assume_value();
         this->counts.pulledBytes += pulled.receivedBytes;
         const PullResponse &response = pulled.response;
         const auto pause = Milliseconds(std::min(response.retryAfterMilliseconds, std::uint32_t{5000}));
@@ -322,7 +323,7 @@
     if (this->recent.size() > recentVersions)
         this->recent.pop_front();
     this->deltas.clear();
-    this->hooks.held(kept->manifest.version);
+    this->hooks.versionApplied(kept->manifest.version);
     return success();
 }
 
--- a/Services/Node/Control/ControlFollower.h
+++ b/Services/Node/Control/ControlFollower.h
@@ -41,9 +41,9 @@
 };
 
 // The first answer after failures.
-struct SourceReturn
+struct SourceRecovery
 {
-    Duration away{}; // Since the answer before the failures, or since the start.
+    Duration outage{}; // Since the answer before the failures, or since the start.
     std::uint32_t failures = 0;
     std::uint64_t version = 0;
 };
@@ -51,13 +51,13 @@
 struct FollowerHooks
 {
     std::function<Result<void>(SiteConfiguration)> offer;
-    std::function<void(const ConfigurationVersion &)> headSeen; // Read from the platform.
-    std::function<void(std::uint64_t version)> held;            // A version was taken in.
+    std::function<void(const ConfigurationVersion &)> headRead; // Read from the platform.
+    std::function<void(std::uint64_t version)> versionApplied;  // A version was taken in.
     std::function<std::vector<Holder>(std::uint64_t version)> holders;
     std::function<std::vector<std::uint64_t>()> zoneVersions; // What the zone's peers hold.
     std::function<std::uint32_t()> rank;                      // For polling the head.
     std::function<void(const SourceFailure &)> sourceFailed;
-    std::function<void(const SourceReturn &)> sourceBack;
+    std::function<void(const SourceRecovery &)> sourceRecovered;
     std::function<bool()> hasView;
     std::function<bool()> knowsPeers;          // Of any other node that is present.
     std::function<void(const Error &)> failed; // A version or a source failed; for the log.
@@ -78,8 +78,8 @@
     // Commands.
     void start();
     void stop();
-    void heard(const ConfigurationVersion &mark); // By gossip.
-    void considerPull();                          // Tries what is due; also called when a holder appeared.
+    void versionAnnounced(const ConfigurationVersion &mark); // By gossip.
+    void pullIfNeeded(); // Tries what is due; also called when a holder appeared.
 
     // Queries.
     PullResponse serve(const PullRequest &request); // Computes and keeps deltas, and changes nothing else.
--- a/Services/Node/Control/ControlIntroducers.cpp
+++ b/Services/Node/Control/ControlIntroducers.cpp
@@ -95,7 +95,7 @@
 // Failure: the table comes back from an older copy without the rows of a zone. Symptom: a node that starts
 // then finds nobody until these are renewed, up to a minute later. Who knows nobody looks often anyway and
 // writes when it finds its row gone.
-void ControlIntroducers::writeAgain()
+void ControlIntroducers::rewriteRow()
 {
     this->writtenAt = Instant::min();
     const std::uint32_t rank = this->hooks.rank();
--- a/Services/Node/Control/ControlIntroducers.h
+++ b/Services/Node/Control/ControlIntroducers.h
@@ -43,7 +43,7 @@
     // Commands.
     void start();
     void stop();
-    void writeAgain(); // The table has come back from an older copy, and the node's row may be lost.
+    void rewriteRow(); // The table has come back from an older copy, and the node's row may be lost.
 
     // Queries.
     const IntroducerCounters &counters() const { return this->counts; }
--- a/Services/Node/Control/ControlPlane.cpp
+++ b/Services/Node/Control/ControlPlane.cpp
@@ -112,7 +112,7 @@
 
     void noteStoreEra(std::uint64_t era) { this->gossip.membership().noteStoreEra(era); }
 
-    void storeReturned() { this->introducers.writeAgain(); }
+    void storeRestored() { this->introducers.rewriteRow(); }
 
     void leave(std::function<void()> done)
     {
@@ -139,12 +139,14 @@
             this->tellViewSoon();
         };
         made.noticesChanged = this->hooks.noticesChanged;
-        made.headAdvanced = [this](const ConfigurationVersion &mark) { this->follower.heard(mark); };
+        made.headAdvanced = [this](const ConfigurationVersion &mark) {
+            this->follower.versionAnnounced(mark);
+        };
         made.storeEraAdvanced = [this](std::uint64_t era) {
-            if (this->hooks.storeEraHeard)
-                this->hooks.storeEraHeard(era);
+            if (this->hooks.storeEraReceived)
+                this->hooks.storeEraReceived(era);
         };
-        made.heldVersionAdvanced = [this](const Member &) { this->follower.considerPull(); };
+        made.heldVersionAdvanced = [this](const Member &) { this->follower.pullIfNeeded(); };
         return made;
     }
 
@@ -152,10 +154,10 @@
     {
         FollowerHooks made;
         made.offer = this->hooks.configurationOffered;
-        made.headSeen = [this](const ConfigurationVersion &mark) {
+        made.headRead = [this](const ConfigurationVersion &mark) {
             this->gossip.membership().setConfiguration(this->follower.heldVersion(), mark);
         };
-        made.held = [this](std::uint64_t version) {
+        made.versionApplied = [this](std::uint64_t version) {
             this->gossip.membership().setConfiguration(version, this->gossip.membership().head());
             this->updateReady();
         };
@@ -164,7 +166,7 @@
         made.rank = [this] { return this->readerRank(); };
         made.knowsPeers = [this] { return this->knowsPeers(); };
         made.sourceFailed = this->hooks.sourceFailed;
-        made.sourceBack = this->hooks.sourceBack;
+        made.sourceRecovered = this->hooks.sourceRecovered;
         made.hasView = [this] { return this->gossip.membership().hasView(); };
         made.failed = [this](const Error &error) {
             if (this->hooks.failed)
@@ -181,12 +183,12 @@
         made.found = [this](const std::vector<std::string> &addresses, bool ownZone) {
             Membership &membership = this->gossip.membership();
             membership.addSeeds(SteadyClock::now(), addresses, ownZone);
-            if (membership.members().presentCount() <= 1 || !this->hooks.unmet)
+            if (membership.members().presentCount() <= 1 || !this->hooks.introducerUnknown)
                 return;
             const auto met = membership.membersAt(addresses);
             for (const std::string &address : addresses) {
                 if (!met.contains(address))
-                    this->hooks.unmet(address);
+                    this->hooks.introducerUnknown(address);
             }
         };
         return made;
@@ -333,7 +335,7 @@
         status.wholePulls = follower.wholePulls;
         status.refusedVersions = follower.refusedVersions;
         status.pullsServed = server.served;
-        status.pullsTurnedAway = server.refused;
+        status.pullsRefused = server.refused;
         status.pullBytesServed = server.servedBytes;
         status.malformedRequests = server.malformed;
         return status;
@@ -384,9 +386,9 @@
     this->parts->noteStoreEra(era);
 }
 
-void ControlPlane::storeReturned()
+void ControlPlane::storeRestored()
 {
-    this->parts->storeReturned();
+    this->parts->storeRestored();
 }
 
 void ControlPlane::leave(std::function<void()> done)
--- a/Services/Node/Control/ControlPlane.h
+++ b/Services/Node/Control/ControlPlane.h
@@ -52,14 +52,14 @@
     std::function<Result<void>(SiteConfiguration)> configurationOffered;
     // Something failed that an operator may want to know; not called again and again for one outage.
     std::function<void(const Error &)> failed;
-    std::function<void(const SourceFailure &)> sourceFailed; // The source of versions did not answer.
-    std::function<void(const SourceReturn &)> sourceBack;    // The source of versions answers again.
+    std::function<void(const SourceFailure &)> sourceFailed;     // The source of versions did not answer.
+    std::function<void(const SourceRecovery &)> sourceRecovered; // The source of versions answers again.
     // The notices that this node holds, after they changed.
     std::function<void(const std::vector<Notice> &)> noticesChanged;
     // A peer knows of this life of the platform's store; see StoreEra.
-    std::function<void(std::uint64_t era)> storeEraHeard;
+    std::function<void(std::uint64_t era)> storeEraReceived;
     // A row names an introducer at whose address no member is known, although others are.
-    std::function<void(const std::string &gossipAddress)> unmet;
+    std::function<void(const std::string &gossipAddress)> introducerUnknown;
 };
 
 struct ControlStatus
@@ -85,7 +85,7 @@
     std::uint64_t wholePulls = 0;
     std::uint64_t refusedVersions = 0;
     std::uint64_t pullsServed = 0;
-    std::uint64_t pullsTurnedAway = 0;
+    std::uint64_t pullsRefused = 0;
     std::uint64_t pullBytesServed = 0;
     std::uint64_t malformedRequests = 0;
 
@@ -110,7 +110,7 @@
     void announce(const Notice &notice); // To all nodes.
     // On the control thread. Tells peers which life of the store this node knows of.
     void noteStoreEra(std::uint64_t era);
-    void storeReturned(); // The table has come back from an older copy.
+    void storeRestored(); // The table has come back from an older copy.
     // Says goodbye to the mesh, then calls `done` on the control thread. Called last, after the drain.
     void leave(std::function<void()> done);
     void stop(); // Closes the ports; on the control thread.
--- a/Services/Node/Gate/LocalGateUpstream.cpp
+++ b/Services/Node/Gate/LocalGateUpstream.cpp
@@ -50,7 +50,7 @@
     request.method = call.request.method;
     request.target = call.request.target;
     for (const Header &header : call.request.headers) {
-        if (!isHopHeader(header.name))
+        if (!isHopByHopHeader(header.name))
             request.headers.push_back(header);
     }
     const auto milliseconds = std::chrono::duration_cast<Milliseconds>(remaining).count();
@@ -138,7 +138,7 @@
     answer.outcome = Outcome::Done;
     answer.status = response.status;
     for (Header &header : response.headers) {
-        if (!isHopHeader(header.name))
+        if (!isHopByHopHeader(header.name))
             answer.headers.push_back(std::move(header));
     }
     answer.body = std::move(response.body);
--- a/Services/Node/Gate/RequestQuarantine.cpp
+++ b/Services/Node/Gate/RequestQuarantine.cpp
@@ -137,9 +137,9 @@
     this->previouslyRefused = std::move(refused);
 }
 
-std::vector<KeptCrash> keptCrashes(const std::vector<Notice> &notices, std::uint64_t now)
+std::vector<CrashRecord> keptCrashes(const std::vector<Notice> &notices, std::uint64_t now)
 {
-    std::vector<KeptCrash> crashes;
+    std::vector<CrashRecord> crashes;
     for (const Notice &notice : notices)
         crashes.push_back({notice.subject, notice.source,
                            now + std::uint64_t{notice.timeToLiveSeconds} * millisecondsPerSecond});
@@ -147,10 +147,10 @@
 }
 
 // The lifetime is clamped, so that a clock that was set back does not extend it.
-std::vector<Notice> noticesOf(const std::vector<KeptCrash> &crashes, std::uint64_t now)
+std::vector<Notice> noticesOf(const std::vector<CrashRecord> &crashes, std::uint64_t now)
 {
     std::vector<Notice> notices;
-    for (const KeptCrash &crash : crashes) {
+    for (const CrashRecord &crash : crashes) {
         const std::uint64_t remaining = crash.expiresAt > now ? crash.expiresAt - now : 0;
         const std::uint64_t lifetime =
             std::min<std::uint64_t>(remaining / millisecondsPerSecond, noticeLifetimeSeconds);
--- a/Services/Node/Gate/RequestQuarantine.h
+++ b/Services/Node/Gate/RequestQuarantine.h
@@ -61,7 +61,7 @@
 };
 
 // Convert notices to stored crashes and back, with the lifetime that is left at `now` (Unix milliseconds).
-std::vector<KeptCrash> keptCrashes(const std::vector<Notice> &notices, std::uint64_t now);
-std::vector<Notice> noticesOf(const std::vector<KeptCrash> &crashes, std::uint64_t now);
+std::vector<CrashRecord> keptCrashes(const std::vector<Notice> &notices, std::uint64_t now);
+std::vector<Notice> noticesOf(const std::vector<CrashRecord> &crashes, std::uint64_t now);
 
 } // namespace Sagecrank
--- a/Services/Node/HopHeaders.h
+++ b/Services/Node/HopHeaders.h
@@ -9,7 +9,7 @@
 
 namespace Sagecrank {
 
-inline bool isHopHeader(std::string_view name)
+inline bool isHopByHopHeader(std::string_view name)
 {
     static constexpr std::string_view hop[] = {
         "Connection", "Content-Length", "Transfer-Encoding", "Keep-Alive", "TE", "Trailer",
--- a/Services/Node/Node.cpp
+++ b/Services/Node/Node.cpp
@@ -150,8 +150,8 @@
     TRY_VOID(this->plane.start());
     for (const auto &worker : this->workers)
         worker->start();
-    this->presence.awaitRecall();
-    this->record.recall();
+    this->presence.awaitPersistedState();
+    this->record.load();
     this->watchSignals();
     this->tick();
     this->log.write(EventId::ProcessStarted,
@@ -178,9 +178,9 @@
         this->plane.noteStoreEra(rise.current);
         if (!rise.previous)
             return; // Nothing was written before it.
-        this->nodeLog.storeReturned(rise);
-        this->record.writeAgain(SteadyClock::now());
-        this->plane.storeReturned();
+        this->nodeLog.storeRestored(rise);
+        this->record.rewriteAfterRestore(SteadyClock::now());
+        this->plane.storeRestored();
     });
 }
 
@@ -224,17 +224,19 @@
     };
     hooks.failed = [this](const Error &error) { this->nodeLog.controlFailed(error); };
     hooks.sourceFailed = [this](const SourceFailure &failure) { this->nodeLog.sourceFailed(failure); };
-    hooks.unmet = [this](const std::string &address) { this->nodeLog.memberUnmet(address); };
-    hooks.storeEraHeard = [this](std::uint64_t era) {
+    hooks.introducerUnknown = [this](const std::string &address) {
+        this->nodeLog.introducerUnknown(address);
+    };
+    hooks.storeEraReceived = [this](std::uint64_t era) {
         if (this->adapter.era)
             this->adapter.era->observePeerEra(era);
     };
-    hooks.sourceBack = [this](const SourceReturn &found) { this->nodeLog.sourceBack(found); };
+    hooks.sourceRecovered = [this](const SourceRecovery &found) { this->nodeLog.sourceRecovered(found); };
     hooks.noticesChanged = [this](const std::vector<Notice> &notices) {
         this->quarantine.update(SteadyClock::now(), notices);
         for (const Notice &notice : notices) {
             if (notice.state == static_cast<std::uint8_t>(CrashReportState::Cleared))
-                this->record.noteCleared(notice.subject, notice.source);
+                this->record.removeCrash(notice.subject, notice.source);
         }
     };
     return hooks;
@@ -247,7 +249,7 @@
     hooks.crashesReported = [this](const std::vector<Notice> &notices) {
         this->observer.upstreamCrashed(notices.size());
         boost::asio::post(this->control, [this, notices] {
-            this->record.noteCrashes(keptCrashes(notices, unixMilliseconds()));
+            this->record.recordCrashes(keptCrashes(notices, unixMilliseconds()));
         });
     };
     hooks.quarantined = [this](RequestFingerprint request) { this->nodeLog.requestQuarantined(request); };
@@ -352,9 +354,9 @@
 void Node::confirm(const HttpRequest &request, HttpResponse response,
                    const std::shared_ptr<HttpExchange> &exchange)
 {
-    if (request.method == "GET" || !this->presence.leaves())
+    if (request.method == "GET" || !this->presence.isLeaving())
         return exchange->respond(std::move(response));
-    this->record.whenKept([exchange, response = std::move(response)](bool kept) mutable {
+    this->record.whenPersisted([exchange, response = std::move(response)](bool kept) mutable {
         exchange->respond(kept ? std::move(response) : makeResponse(503, "text/plain", "not kept yet\n"));
     });
 }
@@ -383,25 +385,27 @@
         this->plane.announceUpstream(cluster, state, slots);
         this->limitQueue();
     };
-    hooks.leaving = [this](const Departure &departure) { this->record.noteLeaving(departure); };
-    hooks.serving = [this](const UpstreamAnnouncement &upstream) { this->record.noteServing(upstream); };
+    hooks.leaving = [this](const Departure &departure) { this->record.recordDeparture(departure); };
+    hooks.serving = [this](const UpstreamAnnouncement &upstream) { this->record.recordServing(upstream); };
     return hooks;
 }
 
 UpstreamRecordHooks Node::recordHooks()
 {
     UpstreamRecordHooks hooks;
-    hooks.recalled = [this](RecalledUpstream upstream) {
+    hooks.loaded = [this](PersistedUpstream upstream) {
         // A host that was replaced has its name from the one before it, but another upstream.
         if (upstream.serving && upstream.serving->address != this->settings.platform.upstream)
             upstream.serving.reset();
         this->nodeLog.upstreamRecalled(upstream);
-        this->presence.recalled(SteadyClock::now(), upstream);
+        this->presence.persistedStateLoaded(SteadyClock::now(), upstream);
         for (const Notice &notice : noticesOf(upstream.crashes, unixMilliseconds()))
             this->plane.announce(notice);
     };
-    hooks.kept = [this](const Departure &departure) { this->nodeLog.departureKept(departure); };
-    hooks.failed = [this](const Error &error) { this->nodeLog.recordFailed(error); };
+    hooks.departurePersisted = [this](const Departure &departure) {
+        this->nodeLog.departurePersisted(departure);
+    };
+    hooks.failed = [this](const Error &error) { this->nodeLog.upstreamRecordFailed(error); };
     return hooks;
 }
 
--- a/Services/Node/Node.h
+++ b/Services/Node/Node.h
@@ -101,7 +101,7 @@
     HttpServer announcementServer;
     HttpServer probeServer;
     ControlPlane plane;
-    bool goodbyeSaid = false;    // On the control thread.
+    bool leaveAnnounced = false; // On the control thread.
     bool callersRefused = false; // By all workers, at the end of a drain.
     NodeDrain drain;
     SettingsReload settingsReload;
--- a/Services/Node/NodeDrain.cpp
+++ b/Services/Node/NodeDrain.cpp
@@ -31,9 +31,9 @@
 void NodeDrain::advance(Instant now)
 {
     if (this->current == DrainStage::Deflecting
-        && now - this->begunAt >= this->settings.linger - announceTime) {
+        && now - this->begunAt >= this->settings.linger - leaveAnnounceTime) {
         this->current = DrainStage::Announcing;
-        this->hooks.sayGoodbye();
+        this->hooks.announceLeave();
     }
     if (this->current == DrainStage::Announcing && now - this->begunAt >= this->settings.linger) {
         this->current = DrainStage::Finishing;
@@ -46,7 +46,7 @@
         this->hooks.withdrawWaiting();
     }
     const bool done = this->isDone();
-    if (!done && (!this->withdrawnAt || now - *this->withdrawnAt < lastAnswersTime))
+    if (!done && (!this->withdrawnAt || now - *this->withdrawnAt < finalResponseTime))
         return;
     this->current = DrainStage::Left;
     this->hooks.leave();
@@ -59,13 +59,14 @@
     case DrainStage::Left:
         return std::nullopt;
     case DrainStage::Deflecting:
-        return this->begunAt + this->settings.linger - announceTime;
+        return this->begunAt + this->settings.linger - leaveAnnounceTime;
     case DrainStage::Announcing:
         return this->begunAt + this->settings.linger;
     case DrainStage::Finishing:
         break;
     }
-    return this->withdrawnAt ? *this->withdrawnAt + lastAnswersTime : this->begunAt + this->settings.maximum;
+    return this->withdrawnAt ? *this->withdrawnAt + finalResponseTime
+                             : this->begunAt + this->settings.maximum;
 }
 
 // Failure: a request is read whole between the last look at what is open and the end. Symptom: it is sent to
@@ -74,7 +75,7 @@
 bool NodeDrain::isDone()
 {
     const bool refused = !this->hooks.refuseCallers || (this->refusing && this->hooks.callersRefused());
-    const bool idle = this->hooks.idle() && this->hooks.goodbyeSaid();
+    const bool idle = this->hooks.idle() && this->hooks.leaveAnnounced();
     if (idle && !refused && !this->refusing) {
         this->refusing = true;
         this->hooks.refuseCallers();
--- a/Services/Node/NodeDrain.h
+++ b/Services/Node/NodeDrain.h
@@ -33,10 +33,10 @@
 }};
 
 // Kept of the linger for the news to reach every node: half more than it took among 200.
-inline constexpr Duration announceTime = std::chrono::seconds(1);
+inline constexpr Duration leaveAnnounceTime = std::chrono::seconds(1);
 
 // What is withdrawn at the maximum is answered within this, and what still runs has as long.
-inline constexpr Duration lastAnswersTime = std::chrono::milliseconds(900);
+inline constexpr Duration finalResponseTime = std::chrono::milliseconds(900);
 
 struct NodeDrainSettings
 {
@@ -49,8 +49,8 @@
     std::function<void()> deflectCallers;
     // Load: hosts are restarted one after the other. Harm of saying goodbye only when nothing runs any more:
     // the upstream stands idle for its 0.9 s as well, 2.5 s of each restart in place of 1.6 s.
-    std::function<void()> sayGoodbye;
-    std::function<bool()> goodbyeSaid;
+    std::function<void()> announceLeave;
+    std::function<bool()> leaveAnnounced;
     std::function<void()> stopCallers;
     std::function<bool()> idle;            // Nothing is waiting, running or unanswered.
     std::function<void()> withdrawWaiting; // What has not begun yet is refused.
--- a/Services/Node/NodeEnd.cpp
+++ b/Services/Node/NodeEnd.cpp
@@ -40,7 +40,7 @@
 // the process may be killed soon after it.
 void Node::endCalls()
 {
-    const Duration peersTime = this->isIdle() ? lastAnswersTime : Duration::zero();
+    const Duration peersTime = this->isIdle() ? finalResponseTime : Duration::zero();
     const std::function<void()> ended = this->afterAllWorkers([this] { this->control.stop(); });
     for (const auto &worker : this->workers)
         worker->finishCalls(peersTime, ended);
@@ -49,11 +49,11 @@
 NodeDrainHooks Node::drainHooks()
 {
     NodeDrainHooks hooks;
-    hooks.sayGoodbye = [this] {
+    hooks.announceLeave = [this] {
         this->presence.drain();
-        this->plane.leave([this] { this->goodbyeSaid = true; });
+        this->plane.leave([this] { this->leaveAnnounced = true; });
     };
-    hooks.goodbyeSaid = [this] { return this->goodbyeSaid; };
+    hooks.leaveAnnounced = [this] { return this->leaveAnnounced; };
     hooks.deflectCallers = [this] {
         this->log.write(EventId::ProcessDraining, {{"in_flight", this->gate.inFlight()}});
         for (const auto &worker : this->workers)
--- a/Services/Node/NodeLog.cpp
+++ b/Services/Node/NodeLog.cpp
@@ -86,14 +86,14 @@
                      {"retry_in_ms", wholeMilliseconds(failure.retryIn)}});
 }
 
-void NodeLog::sourceBack(const SourceReturn &found)
+void NodeLog::sourceRecovered(const SourceRecovery &found)
 {
-    this->log.write(EventId::SourceRegained, {{"away_ms", wholeMilliseconds(found.away)},
+    this->log.write(EventId::SourceRegained, {{"away_ms", wholeMilliseconds(found.outage)},
                                               {"failures", found.failures},
                                               {"version", found.version}});
 }
 
-void NodeLog::storeReturned(const EraChange &rise)
+void NodeLog::storeRestored(const EraChange &rise)
 {
     this->log.write(EventId::StoreReturned, {{"era", rise.current}, {"before", rise.previous.value_or(0)}});
 }
@@ -117,7 +117,7 @@
         this->seen.erase(entry);
 }
 
-void NodeLog::memberUnmet(const std::string &gossipAddress)
+void NodeLog::introducerUnknown(const std::string &gossipAddress)
 {
     this->log.write(EventId::MemberUnmet, {{"peer", gossipAddress}});
 }
@@ -128,20 +128,20 @@
                     {{"step", error.step}, {"peer", error.peer}, {"message", error.message}});
 }
 
-void NodeLog::upstreamRecalled(const RecalledUpstream &upstream)
+void NodeLog::upstreamRecalled(const PersistedUpstream &upstream)
 {
     const auto nameOf = [](const auto &start) { return start ? start->instance : std::string("none"); };
     this->log.write(EventId::UpstreamRecalled,
                     {{"serving", nameOf(upstream.serving)}, {"leaving", nameOf(upstream.departure)}});
 }
 
-void NodeLog::departureKept(const Departure &departure)
+void NodeLog::departurePersisted(const Departure &departure)
 {
     this->log.write(EventId::DepartureKept,
                     {{"instance", departure.instance}, {"started_at", departure.startedAt}});
 }
 
-void NodeLog::recordFailed(const Error &error)
+void NodeLog::upstreamRecordFailed(const Error &error)
 {
     this->log.write(EventId::UpstreamUnrecorded,
                     {{"step", error.step}, {"peer", error.peer}, {"message", error.message}});
--- a/Services/Node/Upstream/CrashHistory.cpp
+++ b/Services/Node/Upstream/CrashHistory.cpp
@@ -45,33 +45,33 @@
     return static_cast<std::uint64_t>(std::chrono::duration_cast<std::chrono::milliseconds>(now).count());
 }
 
-void CrashHistory::add(const std::vector<KeptCrash> &crashes)
+void CrashHistory::add(const std::vector<CrashRecord> &crashes)
 {
-    for (const KeptCrash &crash : crashes) {
+    for (const CrashRecord &crash : crashes) {
         if (std::ranges::find(this->kept, crash) == this->kept.end())
             this->kept.push_back(crash);
     }
-    if (this->kept.size() > maximumKeptCrashes)
-        this->kept.erase(this->kept.begin(), this->kept.end() - maximumKeptCrashes);
+    if (this->kept.size() > maximumCrashRecords)
+        this->kept.erase(this->kept.begin(), this->kept.end() - maximumCrashRecords);
 }
 
 bool CrashHistory::remove(std::uint64_t request, std::uint64_t crash)
 {
     return std::erase_if(this->kept,
-                         [&](const KeptCrash &one) { return one.request == request && one.crash == crash; })
+                         [&](const CrashRecord &one) { return one.request == request && one.crash == crash; })
            > 0;
 }
 
 void CrashHistory::dropExpired(std::uint64_t nowMilliseconds)
 {
     std::erase_if(this->kept,
-                  [nowMilliseconds](const KeptCrash &crash) { return crash.expiresAt <= nowMilliseconds; });
+                  [nowMilliseconds](const CrashRecord &crash) { return crash.expiresAt <= nowMilliseconds; });
 }
 
-std::string CrashHistory::text() const
+std::string CrashHistory::serialize() const
 {
     std::string text;
-    for (const KeptCrash &crash : this->kept) {
+    for (const CrashRecord &crash : this->kept) {
         append(text, crash.request, fieldEnd);
         append(text, crash.crash, fieldEnd);
         append(text, crash.expiresAt, entryEnd);
--- a/Services/Node/Upstream/UpstreamPresence.cpp
+++ b/Services/Node/Upstream/UpstreamPresence.cpp
@@ -57,17 +57,17 @@
     return announcement.sequence < this->last.sequence;
 }
 
-AnnouncementVerdict UpstreamPresence::announced(Instant now, UpstreamAnnouncement announcement,
-                                                UpstreamState state)
+AnnouncementResult UpstreamPresence::announced(Instant now, UpstreamAnnouncement announcement,
+                                               UpstreamState state)
 {
     const std::lock_guard guard(this->mutex);
     if (this->isStale(announcement))
-        return AnnouncementVerdict::Stale;
+        return AnnouncementResult::Stale;
     if (takesCalls(state) && this->hasDeparted(now, announcement))
-        return AnnouncementVerdict::Stale;
+        return AnnouncementResult::Stale;
     if (!this->isHeldBack(announcement, state))
         this->take(now, announcement, state);
-    return AnnouncementVerdict::Taken;
+    return AnnouncementResult::Accepted;
 }
 
 bool UpstreamPresence::hasDeparted(Instant now, const UpstreamAnnouncement &announcement) const
@@ -105,19 +105,19 @@
     return true;
 }
 
-void UpstreamPresence::awaitRecall()
+void UpstreamPresence::awaitPersistedState()
 {
     const std::lock_guard guard(this->mutex);
     this->awaitsRecall = true;
 }
 
-void UpstreamPresence::recalled(Instant now, const RecalledUpstream &upstream)
+void UpstreamPresence::persistedStateLoaded(Instant now, const PersistedUpstream &upstream)
 {
     const std::lock_guard guard(this->mutex);
     this->awaitsRecall = false;
     this->departed = upstream.departure;
     if (this->departed && this->departed->startedAt == 0)
-        this->nameEnds = now + nameLife;
+        this->nameEnds = now + departedNameTimeout;
     std::optional<HeldWord> word = std::exchange(this->held, std::nullopt);
     if (upstream.serving && (!word || word->announcement.startedAt < upstream.serving->startedAt))
         word = HeldWord{*upstream.serving, UpstreamState::Ready};
@@ -127,7 +127,7 @@
         this->take(now, word->announcement, word->state);
 }
 
-AnnouncementVerdict UpstreamPresence::left(Instant now, const std::string &instance)
+AnnouncementResult UpstreamPresence::left(Instant now, const std::string &instance)
 {
     const std::lock_guard guard(this->mutex);
     if (this->lastState == UpstreamState::None && this->held && this->held->announcement.instance == instance)
@@ -135,21 +135,21 @@
     else if (this->lastState == UpstreamState::None)
         return this->leftUnknown(now, instance);
     else if (instance != this->last.instance)
-        return AnnouncementVerdict::Stale;
+        return AnnouncementResult::Stale;
     this->take(now, UpstreamAnnouncement(this->last), UpstreamState::Gone);
-    return AnnouncementVerdict::Taken;
+    return AnnouncementResult::Accepted;
 }
 
 // Failure: a node is started anew, and the first word that it hears of its upstream is a goodbye. Symptom:
 // the row of the start that serves, or a late announcement, brings back an upstream that was told that it
 // gets no more.
-AnnouncementVerdict UpstreamPresence::leftUnknown(Instant now, const std::string &instance)
+AnnouncementResult UpstreamPresence::leftUnknown(Instant now, const std::string &instance)
 {
     this->goodbye = instance;
-    this->nameEnds = now + nameLife;
+    this->nameEnds = now + departedNameTimeout;
     if (this->hooks.leaving)
         this->hooks.leaving({instance, 0});
-    return AnnouncementVerdict::Taken;
+    return AnnouncementResult::Accepted;
 }
 
 void UpstreamPresence::advance(Instant now)
@@ -176,7 +176,7 @@
     return this->lastState;
 }
 
-bool UpstreamPresence::leaves() const
+bool UpstreamPresence::isLeaving() const
 {
     const std::lock_guard guard(this->mutex);
     const bool unknownLeft = this->lastState == UpstreamState::None && this->goodbye;
--- a/Services/Node/Upstream/UpstreamPresence.h
+++ b/Services/Node/Upstream/UpstreamPresence.h
@@ -21,13 +21,13 @@
 // A goodbye that a node hears before anything else tells no start. For so long nothing of that name is
 // believed: longer than a start goes on after its goodbye and than an announcement is held up. The same name,
 // started anew, waits as long at most.
-inline constexpr Duration nameLife = std::chrono::seconds(15);
+inline constexpr Duration departedNameTimeout = std::chrono::seconds(15);
 
 // What an upstream's own word means to those who send it calls.
 UpstreamCondition conditionOf(UpstreamState state);
 
-enum class AnnouncementVerdict : std::uint8_t {
-    Taken,
+enum class AnnouncementResult : std::uint8_t {
+    Accepted,
     Stale, // Of an earlier start, or sent before one that is known already.
 };
 
@@ -35,7 +35,8 @@
 struct Departure
 {
     std::string instance;
-    std::uint64_t startedAt = 0; // As in UpstreamAnnouncement; zero: any start of this name, for `nameLife`.
+    std::uint64_t startedAt =
+        0; // As in UpstreamAnnouncement; zero: any start of this name, for `departedNameTimeout`.
 
     bool operator==(const Departure &) const = default;
 };
@@ -43,11 +44,11 @@
 Departure departureOf(const UpstreamAnnouncement &announcement);
 
 // What an earlier process of this node knew.
-struct RecalledUpstream
+struct PersistedUpstream
 {
     std::optional<UpstreamAnnouncement> serving; // The last start that took calls.
     std::optional<Departure> departure;          // The last start whose leaving was confirmed.
-    std::vector<KeptCrash> crashes;
+    std::vector<CrashRecord> crashes;
 };
 
 struct UpstreamPresenceHooks
@@ -68,20 +69,21 @@
 public:
     explicit UpstreamPresence(UpstreamPresenceHooks hooks, Duration life = announcementLife);
 
-    AnnouncementVerdict announced(Instant now, UpstreamAnnouncement announcement, UpstreamState state);
+    AnnouncementResult announced(Instant now, UpstreamAnnouncement announcement, UpstreamState state);
     // The start of the upstream that the instance names leaves; nothing is known of it but its name.
-    AnnouncementVerdict left(Instant now, const std::string &instance);
+    AnnouncementResult left(Instant now, const std::string &instance);
     void advance(Instant now); // Notices silence.
 
     // From now on a first "ready" is held back until `recalled` says what an earlier process knew, or until
     // the same start says so once more: two of its words that were both held up are less likely than a table
     // that does not answer, and an upstream that is kept out for longer serves nobody.
-    void awaitRecall();
-    void recalled(Instant now, const RecalledUpstream &upstream);
+    void awaitPersistedState();
+    void persistedStateLoaded(Instant now, const PersistedUpstream &upstream);
     void drain(); // The node leaves: whatever the upstream says, it drains.
 
     UpstreamState state() const;
-    bool leaves() const; // It drains or has gone, by its own word or because the node leaves, known or not.
+    bool
+    isLeaving() const; // It drains or has gone, by its own word or because the node leaves, known or not.
 
 private:
     struct HeldWord
@@ -90,7 +92,7 @@
         UpstreamState state = UpstreamState::None;
     };
 
-    AnnouncementVerdict leftUnknown(Instant now, const std::string &instance);
+    AnnouncementResult leftUnknown(Instant now, const std::string &instance);
     void take(Instant now, const UpstreamAnnouncement &announcement, UpstreamState state);
     void tell(const UpstreamAnnouncement &announcement, UpstreamState state);
     bool hasDeparted(Instant now, const UpstreamAnnouncement &announcement) const;
--- a/Services/Node/Upstream/UpstreamRecord.cpp
+++ b/Services/Node/Upstream/UpstreamRecord.cpp
@@ -65,9 +65,9 @@
     return announcement;
 }
 
-RecalledUpstream decodeRows(const std::vector<Row> &rows)
+PersistedUpstream decodeRows(const std::vector<Row> &rows)
 {
-    RecalledUpstream recalled;
+    PersistedUpstream recalled;
     for (const Row &row : rows) {
         if (row.key.sort == leavingRow)
             recalled.departure = decodeDeparture(row);
@@ -99,7 +99,7 @@
 {
 }
 
-void UpstreamRecord::recall()
+void UpstreamRecord::load()
 {
     QueryRequest request;
     request.partition = keyOf(this->node, leavingRow).partition;
@@ -108,15 +108,15 @@
             return this->takeRecalled(decodeRows(rows.value()), returnsBefore);
         this->hooks.failed(rows.error());
         this->readTimer.expires_after(this->nextPause);
-        this->nextPause = std::min(this->nextPause * 2, longestRecallPause);
+        this->nextPause = std::min(this->nextPause * 2, maximumRecordRetryDelay);
         this->readTimer.async_wait([this](const boost::system::error_code &error) {
             if (!error)
-                this->recall();
+                this->load();
         });
     });
 }
 
-void UpstreamRecord::takeRecalled(const RecalledUpstream &found, std::uint32_t returnsBefore)
+void UpstreamRecord::takeRecalled(const PersistedUpstream &found, std::uint32_t returnsBefore)
 {
     if (!this->serving)
         this->serving = found.serving;
@@ -127,10 +127,10 @@
         if (returnsBefore != this->returns)
             this->writeLeavingAgain(); // It was read before the return.
     }
-    this->hooks.recalled(found);
+    this->hooks.loaded(found);
 }
 
-void UpstreamRecord::noteServing(const UpstreamAnnouncement &announcement)
+void UpstreamRecord::recordServing(const UpstreamAnnouncement &announcement)
 {
     if (!this->crashesKept)
         this->writeCrashes();
@@ -146,13 +146,13 @@
                       });
 }
 
-void UpstreamRecord::noteCrashes(const std::vector<KeptCrash> &added)
+void UpstreamRecord::recordCrashes(const std::vector<CrashRecord> &added)
 {
     this->crashes.add(added);
     this->writeCrashes();
 }
 
-void UpstreamRecord::noteCleared(std::uint64_t request, std::uint64_t crash)
+void UpstreamRecord::removeCrash(std::uint64_t request, std::uint64_t crash)
 {
     if (this->crashes.remove(request, crash))
         this->crashesKept = false;
@@ -162,7 +162,7 @@
 {
     this->crashes.dropExpired(unixMilliseconds());
     this->crashesKept = true;
-    const Row row{keyOf(this->node, crashesRow), {{requestsAttribute, this->crashes.text()}}};
+    const Row row{keyOf(this->node, crashesRow), {{requestsAttribute, this->crashes.serialize()}}};
     this->table.putIf({row, {}}, [this](const Result<void> &result) {
         if (result)
             return;
@@ -171,18 +171,18 @@
     });
 }
 
-void UpstreamRecord::noteLeaving(const Departure &departure)
+void UpstreamRecord::recordDeparture(const Departure &departure)
 {
     this->noted = departure;
     if (!this->writing && !this->isKept())
         this->write();
 }
 
-void UpstreamRecord::writeAgain(Instant now)
+void UpstreamRecord::rewriteAfterRestore(Instant now)
 {
     this->crashesKept = this->crashesKept && this->crashes.crashes().empty();
     ++this->returns;
-    this->servingIsLost = this->servingWrittenAt && now - *this->servingWrittenAt < oldestCopy;
+    this->servingIsLost = this->servingWrittenAt && now - *this->servingWrittenAt < maximumBackupAge;
     this->writeLeavingAgain();
 }
 
@@ -192,7 +192,7 @@
         return;
     this->keptNow.reset();
     this->owed = true;
-    this->nextWritePause = recallPause;
+    this->nextWritePause = recordRetryDelay;
     if (!this->writing)
         this->write();
 }
@@ -207,7 +207,7 @@
 void UpstreamRecord::writeLater()
 {
     this->writeTimer.expires_after(this->nextWritePause);
-    this->nextWritePause = std::min(this->nextWritePause * 2, longestRecallPause);
+    this->nextWritePause = std::min(this->nextWritePause * 2, maximumRecordRetryDelay);
     this->writeTimer.async_wait([this](const boost::system::error_code &error) {
         if (!error && this->owed && !this->writing)
             this->write();
@@ -237,20 +237,20 @@
         return this->write(); // Answered before the return, or after it: not known.
     this->owed = false;
     this->keptNow = departure;
-    this->hooks.kept(departure);
+    this->hooks.departurePersisted(departure);
     if (!this->isKept())
         return this->write();
     this->release();
 }
 
-void UpstreamRecord::whenKept(std::function<void(bool)> answer)
+void UpstreamRecord::whenPersisted(std::function<void(bool)> answer)
 {
     if (!this->writing)
         return answer(this->isKept());
     this->waiting.push_back(std::move(answer));
     if (this->waiting.size() > 1)
         return;
-    this->waitTimer.expires_after(departureWait);
+    this->waitTimer.expires_after(departureWriteTimeout);
     this->waitTimer.async_wait([this](const boost::system::error_code &error) {
         if (!error)
             this->release();
--- a/Services/Node/Upstream/UpstreamRecord.h
+++ b/Services/Node/Upstream/UpstreamRecord.h
@@ -32,22 +32,22 @@
 namespace Sagecrank {
 
 // An upstream takes a confirmation that comes within a second. What is left goes to its way there and back.
-inline constexpr Duration departureWait = Milliseconds(600);
+inline constexpr Duration departureWriteTimeout = Milliseconds(600);
 
 // Between two reads of a table that does not answer: the first in the time of an announcement, then twice as
 // long each time. Load: a fleet that starts while the table is away. Harm of a read a second by each node:
 // 6,500 a second for a table that gives 2,000 to everything.
-inline constexpr Duration recallPause = std::chrono::seconds(1);
-inline constexpr Duration longestRecallPause = std::chrono::seconds(16);
+inline constexpr Duration recordRetryDelay = std::chrono::seconds(1);
+inline constexpr Duration maximumRecordRetryDelay = std::chrono::seconds(16);
 
 // How old a copy may be from which the table comes back: what was written before stands in it.
-inline constexpr Duration oldestCopy = std::chrono::minutes(2);
+inline constexpr Duration maximumBackupAge = std::chrono::minutes(2);
 
 struct UpstreamRecordHooks
 {
     // Once, when the table has answered.
-    std::function<void(const RecalledUpstream &)> recalled;
-    std::function<void(const Departure &)> kept;
+    std::function<void(const PersistedUpstream &)> loaded;
+    std::function<void(const Departure &)> departurePersisted;
     std::function<void(const Error &)> failed; // A read or a write.
 };
 
@@ -58,33 +58,33 @@
     UpstreamRecord(boost::asio::io_context &context, TablePort table, std::string node,
                    UpstreamRecordHooks hooks);
 
-    void recall(); // Reads the rows, until the table answers.
+    void load(); // Reads the rows, until the table answers.
 
     // The start that serves now. Nobody waits for its row, and a write that fails is not made again: the row
     // only saves time.
-    void noteServing(const UpstreamAnnouncement &announcement);
+    void recordServing(const UpstreamAnnouncement &announcement);
 
     // Writes the row of the start that leaves. Saying the same again costs nothing unless the write before it
     // has failed.
-    void noteLeaving(const Departure &departure);
+    void recordDeparture(const Departure &departure);
 
     // What ran at a crash of the upstream. Nobody waits for its row; one that could not be written is written
     // with the next word of the upstream.
-    void noteCrashes(const std::vector<KeptCrash> &added);
+    void recordCrashes(const std::vector<CrashRecord> &added);
     // The request was answered since: it is not held against it any more. Written with the next word too.
-    void noteCleared(std::uint64_t request, std::uint64_t crash);
+    void removeCrash(std::uint64_t request, std::uint64_t crash);
 
     // The table has come back from an older copy: writes again what may be lost and is still needed. A
     // leaving at once; the start that serves and the crashes with the upstream's next word, which spreads the
     // writes of a fleet.
-    void writeAgain(Instant now);
+    void rewriteAfterRestore(Instant now);
 
     // Answers whether all that was noted about leaving is kept: at once when no write is on its way, after
-    // `departureWait` at the latest. What is not kept must not be confirmed; the upstream asks again.
-    void whenKept(std::function<void(bool kept)> answer);
+    // `departureWriteTimeout` at the latest. What is not kept must not be confirmed; the upstream asks again.
+    void whenPersisted(std::function<void(bool kept)> answer);
 
 private:
-    void takeRecalled(const RecalledUpstream &found, std::uint32_t returnsBefore);
+    void takeRecalled(const PersistedUpstream &found, std::uint32_t returnsBefore);
     void writeLeavingAgain();
     void writeLater();
     bool isOutlived(const Departure &departure) const; // A later start serves, so nobody needs it.
@@ -98,10 +98,10 @@
     const std::string node;
     const UpstreamRecordHooks hooks;
     boost::asio::steady_timer readTimer;
-    Duration nextPause = recallPause;
+    Duration nextPause = recordRetryDelay;
     boost::asio::steady_timer waitTimer;
     boost::asio::steady_timer writeTimer;
-    Duration nextWritePause = recallPause;
+    Duration nextWritePause = recordRetryDelay;
     std::optional<UpstreamAnnouncement> serving; // As last written.
     CrashHistory crashes;
     bool crashesKept = true;                 // The row says no less.
--- a/Tests/Control/TestControlPlane.cpp
+++ b/Tests/Control/TestControlPlane.cpp
@@ -137,9 +137,9 @@
             return this->holder->offer(std::move(configuration));
         };
         hooks.failed = [this](const Error &) { ++this->errors; };
-        hooks.storeEraHeard = [this](std::uint64_t era) {
+        hooks.storeEraReceived = [this](std::uint64_t era) {
             this->heardEra = era;
-            this->plane->storeReturned();
+            this->plane->storeRestored();
         };
         this->plane = std::make_unique<ControlPlane>(
             context, settings, platform.table(),
@@ -311,12 +311,12 @@
     ControlFollower follower(context, "a", "s",
                              makeTableVersionSource(platform.table(), platform.objects(), "s"),
                              FollowerSettings{}, std::move(hooks), 1);
-    follower.heard({3, 0, 0});
+    follower.versionAnnounced({3, 0, 0});
     cr_assert(follower.counters().peerPulls == 0);
     known.push_back({"b", freeAddress(), true});
-    follower.considerPull();
+    follower.pullIfNeeded();
     cr_assert(follower.counters().peerPulls == 1);
-    follower.considerPull();
+    follower.pullIfNeeded();
     cr_assert(follower.counters().peerPulls == 1, "one at a time");
 }
 
@@ -369,8 +369,8 @@
     std::uint64_t held = 0;
     FollowerHooks hooks;
     hooks.offer = [](const SiteConfiguration &) { return success(); };
-    hooks.headSeen = [](const ConfigurationVersion &) {};
-    hooks.held = [&held](std::uint64_t version) { held = version; };
+    hooks.headRead = [](const ConfigurationVersion &) {};
+    hooks.versionApplied = [&held](std::uint64_t version) { held = version; };
     hooks.holders = [](std::uint64_t) { return std::vector<Holder>{}; };
     hooks.rank = [] { return 0U; };
     hooks.hasView = [] { return true; };
--- a/Tests/Control/TestIntroducers.cpp
+++ b/Tests/Control/TestIntroducers.cpp
@@ -88,10 +88,10 @@
             this->nodes, [&](const auto &node) { return node->known.size() + 1 == this->nodes.size(); });
     }
 
-    void writeAgain()
+    void rewriteRow()
     {
         for (const auto &node : this->nodes)
-            node->introducers->writeAgain();
+            node->introducers->rewriteRow();
     }
 
     void runOn(Duration length) { this->context.run_for(length); }
@@ -184,7 +184,7 @@
     fleet.table.rows.clear();
     fleet.table.writes = 0;
     fleet.table.away = row;
-    fleet.writeAgain();
+    fleet.rewriteRow();
     cr_assert(fleet.table.writes == introducersPerZone);
     fleet.table.away = false;
     fleet.runOn(row ? Milliseconds(2000) : Milliseconds(0));
--- a/Tests/Node/TestAdminFrontend.cpp
+++ b/Tests/Node/TestAdminFrontend.cpp
@@ -24,7 +24,7 @@
     AdminFrontend admin{AdminHooks{[this](const UpstreamAnnouncement &announcement, UpstreamState state) {
                                        this->announced.push_back(announcement);
                                        this->states.push_back(state);
-                                       return AnnouncementVerdict::Taken;
+                                       return AnnouncementResult::Accepted;
                                    },
                                    {},
                                    {},
--- a/Tests/Node/TestNodeDrain.cpp
+++ b/Tests/Node/TestNodeDrain.cpp
@@ -16,13 +16,13 @@
 public:
     NodeDrain drain{{std::chrono::seconds(3), std::chrono::seconds(60)},
                     {[this] { this->steps.emplace_back("deflect"); },
-                     [this] { this->steps.emplace_back("goodbye"); }, [this] { return this->goodbyeSaid; },
+                     [this] { this->steps.emplace_back("goodbye"); }, [this] { return this->leaveAnnounced; },
                      [this] { this->steps.emplace_back("stop callers"); }, [this] { return this->idle; },
                      [this] { this->steps.emplace_back("withdraw"); },
                      [this] { this->steps.emplace_back("leave"); }}};
     std::vector<std::string> steps;
     bool idle = true;
-    bool goodbyeSaid = true;
+    bool leaveAnnounced = true;
     Instant start = Instant() + std::chrono::hours(1);
 };
 
@@ -85,8 +85,8 @@
     bool refused = false;
     std::vector<std::string> steps;
     NodeDrainHooks hooks;
-    hooks.deflectCallers = hooks.sayGoodbye = hooks.stopCallers = hooks.withdrawWaiting = [] {};
-    hooks.goodbyeSaid = [] { return true; };
+    hooks.deflectCallers = hooks.announceLeave = hooks.stopCallers = hooks.withdrawWaiting = [] {};
+    hooks.leaveAnnounced = [] { return true; };
     hooks.idle = [&] { return idle; };
     hooks.leave = [&] { steps.emplace_back("leave"); };
     hooks.refuseCallers = [&] { steps.emplace_back("refuse"); };
@@ -163,13 +163,13 @@
 Test(nodeDrain, theGoodbyeTakesNoTimeOfItsOwn)
 {
     DrainFixture fixture;
-    fixture.goodbyeSaid = false;
+    fixture.leaveAnnounced = false;
     fixture.drain.begin(fixture.start);
     fixture.drain.advance(fixture.start + Milliseconds(2000));
     cr_assert(fixture.steps == std::vector<std::string>({"deflect", "goodbye"}));
     fixture.drain.advance(fixture.start + Milliseconds(3000));
     cr_assert(fixture.drain.stage() == DrainStage::Finishing);
-    fixture.goodbyeSaid = true;
+    fixture.leaveAnnounced = true;
     fixture.drain.advance(fixture.start + Milliseconds(3050));
     cr_assert(fixture.drain.stage() == DrainStage::Left && fixture.steps.back() == "leave");
 }
--- a/Tests/Node/TestUpstreamRecord.cpp
+++ b/Tests/Node/TestUpstreamRecord.cpp
@@ -80,8 +80,8 @@
     explicit Process(FakeTable &table)
         : record(this->context, table.port(), "node-1", this->recordHooks())
     {
-        this->presence.awaitRecall();
-        this->record.recall();
+        this->presence.awaitPersistedState();
+        this->record.load();
     }
 
     void hear(UpstreamState state, std::uint64_t sequence, std::uint64_t startedAt = 100,
@@ -95,9 +95,9 @@
 
     UpstreamRecordHooks recordHooks()
     {
-        return {[this](const RecalledUpstream &upstream) {
+        return {[this](const PersistedUpstream &upstream) {
                     this->recalledCrashes = upstream.crashes;
-                    this->presence.recalled(this->now, upstream);
+                    this->presence.persistedStateLoaded(this->now, upstream);
                 },
                 [](const Departure &) {}, [this](const Error &) { ++this->failures; }};
     }
@@ -105,12 +105,12 @@
     boost::asio::io_context context{1};
     Instant now = Instant() + std::chrono::hours(1);
     int failures = 0;
-    std::vector<KeptCrash> recalledCrashes;
+    std::vector<CrashRecord> recalledCrashes;
     UpstreamPresence presence{
         {[](const std::string &) {}, [](const UpstreamAnnouncement &) {},
          [](const std::string &, UpstreamState, std::uint32_t) {},
-         [this](const Departure &departure) { this->record.noteLeaving(departure); },
-         [this](const UpstreamAnnouncement &upstream) { this->record.noteServing(upstream); }}};
+         [this](const Departure &departure) { this->record.recordDeparture(departure); },
+         [this](const UpstreamAnnouncement &upstream) { this->record.recordServing(upstream); }}};
     UpstreamRecord record;
 };
 
@@ -158,8 +158,8 @@
 
 const NeedRow needRows[] = {
     {"one serves since a moment ago", {{UpstreamState::Ready, 100}}, Duration::zero(), 0, true},
-    {"one serves for long", {{UpstreamState::Ready, 100}}, oldestCopy, 0, false},
-    {"one left long ago, none came", {{UpstreamState::Draining, 100}}, oldestCopy, 1, false},
+    {"one serves for long", {{UpstreamState::Ready, 100}}, maximumBackupAge, 0, false},
+    {"one left long ago, none came", {{UpstreamState::Draining, 100}}, maximumBackupAge, 1, false},
     {"one left, and another serves",
      {{UpstreamState::Draining, 100}, {UpstreamState::Ready, 200}},
      Duration::zero(),
@@ -227,10 +227,10 @@
     Process node(table);
     node.hear(UpstreamState::Ready, 1);
     int confirmed = 0;
-    node.record.whenKept([&confirmed](bool kept) { confirmed += kept ? 1 : 0; });
+    node.record.whenPersisted([&confirmed](bool kept) { confirmed += kept ? 1 : 0; });
     cr_assert(confirmed == 1);
     node.hear(UpstreamState::Draining, 2);
-    node.record.whenKept([&confirmed](bool kept) { confirmed += kept ? 1 : 0; });
+    node.record.whenPersisted([&confirmed](bool kept) { confirmed += kept ? 1 : 0; });
     cr_assert(confirmed == 1 && node.presence.state() == UpstreamState::Draining);
     table.finishWrite();
     cr_assert(confirmed == 2);
@@ -248,8 +248,8 @@
     table.away = row;
     node.hear(UpstreamState::Draining, 2);
     std::optional<bool> answer;
-    node.record.whenKept([&answer](bool kept) { answer = kept; });
-    node.context.run_for(departureWait + Milliseconds(200));
+    node.record.whenPersisted([&answer](bool kept) { answer = kept; });
+    node.context.run_for(departureWriteTimeout + Milliseconds(200));
     cr_assert(answer == std::optional(false));
     cr_assert(node.presence.state() == UpstreamState::Draining);
 }
@@ -264,7 +264,7 @@
     table.away = false;
     node.hear(UpstreamState::Draining, 3);
     bool confirmed = false;
-    node.record.whenKept([&confirmed](bool kept) { confirmed = kept; });
+    node.record.whenPersisted([&confirmed](bool kept) { confirmed = kept; });
     cr_assert(confirmed);
 }
 
@@ -295,7 +295,7 @@
     next.hear(UpstreamState::Ready, 2);
     cr_assert(next.presence.state() == UpstreamState::Ready);
     table.away = false;
-    next.context.run_for(recallPause + Milliseconds(200));
+    next.context.run_for(recordRetryDelay + Milliseconds(200));
     cr_assert(table.reads == 3 && next.presence.state() == UpstreamState::Draining);
 }
 
@@ -330,9 +330,9 @@
         next.presence.left(next.now, "i-1");
     else
         next.presence.left(next.now, "i-2");
-    cr_assert(next.presence.leaves() == row);
+    cr_assert(next.presence.isLeaving() == row);
     table.away = false;
-    next.context.run_for(recallPause + Milliseconds(200));
+    next.context.run_for(recordRetryDelay + Milliseconds(200));
     next.hear(UpstreamState::Ready, 2);
     cr_assert(next.presence.state() == (row ? UpstreamState::None : UpstreamState::Ready));
     if (!row)
@@ -342,7 +342,7 @@
     Process third(table);
     third.hear(UpstreamState::Ready, 3);
     cr_assert(third.presence.state() == UpstreamState::None);
-    third.now += nameLife;
+    third.now += departedNameTimeout;
     third.hear(UpstreamState::Ready, 1, 200);
     cr_assert(third.presence.state() == UpstreamState::Ready);
 }
@@ -379,12 +379,12 @@
 Test(upstreamRecord, crashesOutliveTheProcess)
 {
     FakeTable table;
-    const std::vector<KeptCrash> crashes = {{7, 1, unixMilliseconds() + 600'000}, {8, 1, 1}};
+    const std::vector<CrashRecord> crashes = {{7, 1, unixMilliseconds() + 600'000}, {8, 1, 1}};
     {
         Process process(table);
-        process.record.noteCrashes(crashes);
+        process.record.recordCrashes(crashes);
     }
-    cr_assert(Process(table).recalledCrashes == std::vector<KeptCrash>{crashes[0]},
+    cr_assert(Process(table).recalledCrashes == std::vector<CrashRecord>{crashes[0]},
               "what has expired is not kept");
 }
 
@@ -394,9 +394,9 @@
     FakeTable table;
     Process process(table);
     table.away = true;
-    process.record.noteCrashes({{7, 1, unixMilliseconds() + 600'000}});
+    process.record.recordCrashes({{7, 1, unixMilliseconds() + 600'000}});
     table.away = false;
-    process.record.noteServing({"booking", "10.0.0.1:80", 6, UpstreamCondition::Ready, "i-2", 5, 1});
+    process.record.recordServing({"booking", "10.0.0.1:80", 6, UpstreamCondition::Ready, "i-2", 5, 1});
     cr_assert(Process(table).recalledCrashes.size() == 1);
 }
 
@@ -405,10 +405,10 @@
 {
     FakeTable table;
     Process process(table);
-    process.record.noteCrashes({{7, 1, unixMilliseconds() + 600'000}});
+    process.record.recordCrashes({{7, 1, unixMilliseconds() + 600'000}});
     table.rows.clear();
-    process.record.writeAgain(SteadyClock::now());
-    process.record.noteServing({"booking", "10.0.0.1:80", 6, UpstreamCondition::Ready, "i-2", 5, 1});
+    process.record.rewriteAfterRestore(SteadyClock::now());
+    process.record.recordServing({"booking", "10.0.0.1:80", 6, UpstreamCondition::Ready, "i-2", 5, 1});
     cr_assert(Process(table).recalledCrashes.size() == 1);
 }
 
@@ -418,11 +418,11 @@
     FakeTable table;
     const std::uint64_t end = unixMilliseconds() + 600'000;
     Process process(table);
-    process.record.noteCrashes({{7, 1, end}, {8, 1, end}});
-    process.record.noteCleared(7, 1);
-    process.record.noteCleared(8, 2);
-    process.record.noteServing({"booking", "10.0.0.1:80", 6, UpstreamCondition::Ready, "i-2", 5, 1});
-    cr_assert(Process(table).recalledCrashes == std::vector<KeptCrash>({{8, 1, end}}));
+    process.record.recordCrashes({{7, 1, end}, {8, 1, end}});
+    process.record.removeCrash(7, 1);
+    process.record.removeCrash(8, 2);
+    process.record.recordServing({"booking", "10.0.0.1:80", 6, UpstreamCondition::Ready, "i-2", 5, 1});
+    cr_assert(Process(table).recalledCrashes == std::vector<CrashRecord>({{8, 1, end}}));
 }
 
 struct KeptTextRow
@@ -448,7 +448,7 @@
 {
     const CrashHistory history = CrashHistory::parse(row.text);
     cr_assert(history.crashes().size() == row.crashes, "%s", row.text);
-    cr_assert(CrashHistory::parse(history.text()).crashes() == history.crashes());
+    cr_assert(CrashHistory::parse(history.serialize()).crashes() == history.crashes());
 }
 
 // The table comes back from a copy of before a confirmed leaving, and the node is killed some time later. Its
@@ -465,14 +465,14 @@
         table.away = row.isAway;
         if (!row.isUnderWay)
             table.rows = copy;
-        killed.record.writeAgain(SteadyClock::now());
+        killed.record.rewriteAfterRestore(SteadyClock::now());
         table.finishWrite(); // Acknowledged by the table of before.
         table.rows = row.isUnderWay ? copy : table.rows;
         table.finishWrite();
         table.away = false;
-        killed.context.run_for(row.isAway ? recallPause + Milliseconds(300) : Milliseconds(0));
+        killed.context.run_for(row.isAway ? recordRetryDelay + Milliseconds(300) : Milliseconds(0));
         bool confirmed = false;
-        killed.record.whenKept([&confirmed](bool kept) { confirmed = kept; });
+        killed.record.whenPersisted([&confirmed](bool kept) { confirmed = kept; });
         cr_assert(confirmed, "%s", row.what);
     }
     Process next(table);
@@ -492,7 +492,7 @@
     {
         Process next(table);
         table.rows.clear();
-        next.record.writeAgain(SteadyClock::now());
+        next.record.rewriteAfterRestore(SteadyClock::now());
     }
     Process third(table);
     third.hear(UpstreamState::Ready, 2);
@@ -509,7 +509,7 @@
     }
     table.holdsReads = true;
     Process next(table);
-    next.record.writeAgain(SteadyClock::now());
+    next.record.rewriteAfterRestore(SteadyClock::now());
     table.holdsWrites = true;
     table.finishRead();
     table.rows.clear();
@@ -527,7 +527,7 @@
         node.hear(state, startedAt, startedAt);
     table.rows.clear();
     table.writes = 0;
-    node.record.writeAgain(SteadyClock::now() + row.later);
+    node.record.rewriteAfterRestore(SteadyClock::now() + row.later);
     cr_assert(table.writes == row.leavings, "%s: %d", row.what, table.writes);
     cr_assert(!table.rows.contains({"upstream/node-1", "serving"}), "%s: not before its next word", row.what);
     for (const auto &[state, startedAt] : row.heard)
--- a/Utilities/FleetBench/Polling.cpp
+++ b/Utilities/FleetBench/Polling.cpp
@@ -44,8 +44,8 @@
             printSwap(i, configuration.manifest.version);
             return success();
         };
-        hooks.headSeen = [](const ConfigurationVersion &) {};
-        hooks.held = [](std::uint64_t) {};
+        hooks.headRead = [](const ConfigurationVersion &) {};
+        hooks.versionApplied = [](std::uint64_t) {};
         hooks.holders = [](std::uint64_t) { return std::vector<Holder>(); };
         hooks.zoneVersions = [] { return std::vector<std::uint64_t>(); };
         hooks.rank = [] { return 0U; }; // Everybody is the first poller.
--- a/Utilities/FleetBench/Push.cpp
+++ b/Utilities/FleetBench/Push.cpp
@@ -130,8 +130,8 @@
         source.push(configuration);
         return success();
     };
-    hooks.headSeen = [](const ConfigurationVersion &) {};
-    hooks.held = [](std::uint64_t) {};
+    hooks.headRead = [](const ConfigurationVersion &) {};
+    hooks.versionApplied = [](std::uint64_t) {};
     hooks.holders = [](std::uint64_t) { return std::vector<Holder>(); };
     hooks.zoneVersions = [] { return std::vector<std::uint64_t>(); };
     hooks.rank = [] { return 0U; };
